--- a/packages/coordination/__tests__/failoverCoordinator.spec.ts
+++ b/packages/coordination/__tests__/failoverCoordinator.spec.ts
@@ -1,7 +1,7 @@
 import { describe, test } from 'node:test'
 import { expect } from 'earl'
 import type { FailoverEffect } from '@nutmegcourse/coordination'
-import { isAnnounced, isSwapped, play } from './failoverStory.js'
+import { isAnnounced, isSwapped, runScenario } from './failoverScenario.js'
 
 describe('FailoverCore outlives its coordinator', () => {
   /*
@@ -29,23 +29,23 @@
   for (const step of steps) {
     for (const { ending, carriesOut, stop } of endings) {
       test(`${ending} ${step.name}`, () => {
-        play({
+        runScenario({
           name: step.name,
-          act: world => {
+          act: simulation => {
             const stopped: string[] = []
-            world.intercept = (host, effect) => {
-              const name = world.hostName(host)
+            simulation.intercept = (host, effect) => {
+              const name = simulation.hostName(host)
               if (stopped.includes(name)) return stop === 'freeze'
               if (stopped.length > 0 || !step.is(effect)) return true
               stopped.push(name)
-              if (stop === 'kill') world.kill(name)
-              else world.network.freeze(name)
+              if (stop === 'kill') simulation.kill(name)
+              else simulation.network.freeze(name)
               return carriesOut
             }
-            world.kill('server-0')
-            world.runFor(3_000)
+            simulation.kill('server-0')
+            simulation.runFor(3_000)
             expect(stopped.length).toEqual(1)
-            for (const name of stopped) if (stop === 'freeze') world.network.thaw(name)
+            for (const name of stopped) if (stop === 'freeze') simulation.network.thaw(name)
           },
           gapBelow: 1_500,
         })
--- a/packages/coordination/__tests__/failoverGap.spec.ts
+++ b/packages/coordination/__tests__/failoverGap.spec.ts
@@ -2,41 +2,46 @@
 import { expect } from 'earl'
 import type { FailoverEffect } from '@nutmegcourse/coordination'
 
-import { FailoverWorld } from './failoverWorld.js'
+import { FailoverSimulation } from './failoverSimulation.js'
 import { ATLAS_QUAI, SHUTTERBAITHAK, type Place } from './virtualNetwork.js'
 
 interface Failure {
   readonly name: string
-  readonly act: (world: FailoverWorld) => void
+  readonly act: (simulation: FailoverSimulation) => void
   readonly gapBelow: number
 }
 
 const SHOWN_STEPS = ['suspected', 'agreed', 'fenced', 'promoted'] as const
 
 /** The gap of the host that waits longest, and when each step of the change was first taken, in virtual milliseconds. */
-function describeGap(world: FailoverWorld, since: number): string {
+function describeGap(simulation: FailoverSimulation, since: number): string {
   const steps = SHOWN_STEPS.map(step => {
-    const at = world.events.find(event => event.step === step)?.at
+    const at = simulation.events.find(event => event.step === step)?.at
     return `${step} ${at === undefined ? '-' : (at - since).toFixed(1)}`
   })
-  return `${steps.join(', ')}, gap ${world.worstGapSince(since).toFixed(1)}`
+  return `${steps.join(', ')}, gap ${simulation.longestHostGapSince(since).toFixed(1)}`
 }
 
-function measure(place: Place, primary: number, failure: Failure, isNaive: boolean): FailoverWorld {
-  const world = new FailoverWorld({ place, primary })
-  if (isNaive) waitForStore(world)
-  world.runFor(1_040)
-  failure.act(world)
-  world.runFor(4_000)
-  return world
+function measure(
+  place: Place,
+  primary: number,
+  failure: Failure,
+  isNaive: boolean,
+): FailoverSimulation {
+  const simulation = new FailoverSimulation({ place, primary })
+  if (isNaive) waitForStore(simulation)
+  simulation.runFor(1_040)
+  failure.act(simulation)
+  simulation.runFor(4_000)
+  return simulation
 }
 
 /** The naive way: no step before the store has recorded the one before it. */
-function waitForStore(world: FailoverWorld): void {
+function waitForStore(simulation: FailoverSimulation): void {
   const phases = new Map<string, string>()
   const held: { readonly phase: string; readonly run: () => void }[] = []
   const stored = new Set<string>()
-  world.intercept = (host, effect) => {
+  simulation.intercept = (host, effect) => {
     if (effect.kind === 'swapRecord') {
       phases.set(`${host}-${effect.call}`, `${effect.record.term}-${effect.record.phase.kind}`)
     }
@@ -45,12 +50,12 @@
     held.push({
       phase,
       run: () => {
-        world.carryOut(host, effect)
+        simulation.executeEffect(host, effect)
       },
     })
     return false
   }
-  world.overhear = (host, message) => {
+  simulation.observeMessage = (host, message) => {
     if (message.kind !== 'storeAnswered' || message.outcome.kind !== 'swapped') return
     const phase = phases.get(`${host}-${message.call}`) ?? ''
     stored.add(phase)
@@ -70,22 +75,24 @@
   const failures: readonly Failure[] = [
     {
       name: 'killed',
-      act: world => {
-        world.kill(world.leader()?.id ?? '')
+      act: simulation => {
+        simulation.kill(simulation.leader()?.id ?? '')
       },
       gapBelow: 300,
     },
     {
       name: 'frozen',
-      act: world => {
-        world.network.freeze(world.leader()?.id ?? '')
+      act: simulation => {
+        simulation.network.freeze(simulation.leader()?.id ?? '')
       },
       gapBelow: 650,
     },
     {
       name: 'drained',
-      act: world => {
-        world.setLeaving(world.servers.findIndex(server => server === world.leader()))
+      act: simulation => {
+        simulation.setLeaving(
+          simulation.servers.findIndex(server => server === simulation.leader()),
+        )
       },
       gapBelow: 200,
     },
@@ -99,14 +106,16 @@
       for (const failure of failures) {
         const zone = place.zones[primary] ?? ''
         test(`${name}, primary in ${zone} ${failure.name}`, context => {
-          const world = measure(place, primary, failure, false)
+          const simulation = measure(place, primary, failure, false)
           const naive = measure(place, primary, failure, true)
-          context.diagnostic(describeGap(world, 1_040))
+          context.diagnostic(describeGap(simulation, 1_040))
           context.diagnostic(`store first: ${describeGap(naive, 1_040)}`)
-          expect(world.broken()).toEqual([])
-          expect(naive.broken()).toEqual([])
-          expect(world.worstGapSince(1_040)).toBeLessThan(failure.gapBelow)
-          expect(world.worstGapSince(1_040)).toBeLessThan(naive.worstGapSince(1_040))
+          expect(simulation.lostOrDuplicatedWrites()).toEqual([])
+          expect(naive.lostOrDuplicatedWrites()).toEqual([])
+          expect(simulation.longestHostGapSince(1_040)).toBeLessThan(failure.gapBelow)
+          expect(simulation.longestHostGapSince(1_040)).toBeLessThan(
+            naive.longestHostGapSince(1_040),
+          )
         })
       }
     }
--- a/packages/coordination/__tests__/failoverHealthy.spec.ts
+++ b/packages/coordination/__tests__/failoverHealthy.spec.ts
@@ -1,71 +1,71 @@
 import { describe, test } from 'node:test'
 import { expect } from 'earl'
-import { SETTLE_MILLISECONDS, play, type Story } from './failoverStory.js'
-import { FailoverWorld } from './failoverWorld.js'
+import { WARM_UP_MILLISECONDS, runScenario, type Scenario } from './failoverScenario.js'
+import { FailoverSimulation } from './failoverSimulation.js'
 
 describe('FailoverCore leaves a healthy primary alone', () => {
   /*
    * Writes stop for a moment although every backend server is well.
    * Cause: a watcher takes its own pause, its own lost link or another's word for a dead primary.
    */
-  const stories: readonly Story[] = [
+  const scenarios: readonly Scenario[] = [
     {
       name: 'when it pauses for less than the bound',
-      act: world => {
-        world.network.freeze('server-0')
-        world.runFor(300)
-        world.network.thaw('server-0')
+      act: simulation => {
+        simulation.network.freeze('server-0')
+        simulation.runFor(300)
+        simulation.network.thaw('server-0')
       },
       gapBelow: 420,
     },
     {
       name: 'when a watcher was frozen',
-      act: world => {
-        world.network.freeze('host-1')
-        world.runFor(2_000)
-        world.network.thaw('host-1')
+      act: simulation => {
+        simulation.network.freeze('host-1')
+        simulation.runFor(2_000)
+        simulation.network.thaw('host-1')
       },
       gapBelow: 100,
     },
     {
       name: 'when every watcher was frozen',
-      act: world => {
-        for (const host of ['host-0', 'host-1', 'host-2']) world.network.freeze(host)
-        world.runFor(1_500)
-        for (const host of ['host-0', 'host-1', 'host-2']) world.network.thaw(host)
+      act: simulation => {
+        for (const host of ['host-0', 'host-1', 'host-2']) simulation.network.freeze(host)
+        simulation.runFor(1_500)
+        for (const host of ['host-0', 'host-1', 'host-2']) simulation.network.thaw(host)
       },
       gapBelow: 1_600,
     },
     {
       name: 'when another zone is cut off',
-      act: world => {
-        world.network.isolate('casa-est')
-        world.runFor(5_000)
-        world.network.heal('casa-est')
+      act: simulation => {
+        simulation.network.isolate('casa-est')
+        simulation.runFor(5_000)
+        simulation.network.heal('casa-est')
       },
       gapBelow: 200,
     },
     {
       name: 'when the store is down',
-      act: world => {
-        world.store.state = 'down'
+      act: simulation => {
+        simulation.store.state = 'down'
       },
       gapBelow: 100,
     },
     {
       name: 'when a replica is killed',
-      act: world => {
-        world.kill('server-1')
-        world.runFor(2_000)
-        world.network.revive('server-1')
+      act: simulation => {
+        simulation.kill('server-1')
+        simulation.runFor(2_000)
+        simulation.network.revive('server-1')
       },
       gapBelow: 200,
     },
   ]
-  for (const story of stories) {
-    test(story.name, () => {
-      const world = play({ ...story, leader: 'server-0' })
-      expect(world.steps().includes('termTaken')).toEqual(false)
+  for (const scenario of scenarios) {
+    test(scenario.name, () => {
+      const simulation = runScenario({ ...scenario, leader: 'server-0' })
+      expect(simulation.steps().includes('termTaken')).toEqual(false)
     })
   }
 
@@ -76,22 +76,22 @@
    * told the watchers. That its process was gone and answers again tells them at once.
    */
   test('and tells a restarted replica to follow again at once', () => {
-    const world = new FailoverWorld()
-    world.runFor(SETTLE_MILLISECONDS)
-    world.kill('server-1')
-    world.runFor(1_000)
-    world.server(1).source = null
-    world.network.revive('server-1')
-    world.runFor(600)
-    expect(world.server(1).source as string | null).toEqual('server-0')
-    expect(world.steps().includes('termTaken')).toEqual(false)
+    const simulation = new FailoverSimulation()
+    simulation.runFor(WARM_UP_MILLISECONDS)
+    simulation.kill('server-1')
+    simulation.runFor(1_000)
+    simulation.server(1).source = null
+    simulation.network.revive('server-1')
+    simulation.runFor(600)
+    expect(simulation.server(1).source as string | null).toEqual('server-0')
+    expect(simulation.steps().includes('termTaken')).toEqual(false)
   })
 
   test('when its process stood still and timers run before sockets', () => {
-    const world = new FailoverWorld({ watcherZones: ['tanger-sud'] })
-    world.runFor(SETTLE_MILLISECONDS)
-    const { core } = world.node(0)
-    const now = world.clock.advance(5_000)
+    const simulation = new FailoverSimulation({ watcherZones: ['tanger-sud'] })
+    simulation.runFor(WARM_UP_MILLISECONDS)
+    const { core } = simulation.node(0)
+    const now = simulation.clock.advance(5_000)
     const effects = core.handle({ kind: 'tick' }, now)
     const suspicions = effects.filter(
       effect => effect.kind === 'tellWatchers' && effect.opinion.suspected,
@@ -100,21 +100,23 @@
   })
 
   test('when the host list loses the lines of all but one replica', () => {
-    const world = new FailoverWorld()
-    world.runFor(SETTLE_MILLISECONDS)
-    world.listOnly(1)
-    world.runFor(5_000)
-    expect(world.leader()?.id as string).toEqual('server-0')
-    expect(world.steps().includes('termTaken')).toEqual(false)
+    const simulation = new FailoverSimulation()
+    simulation.runFor(WARM_UP_MILLISECONDS)
+    simulation.listOnly(1)
+    simulation.runFor(5_000)
+    expect(simulation.leader()?.id as string).toEqual('server-0')
+    expect(simulation.steps().includes('termTaken')).toEqual(false)
   })
 
   test('when one watcher alone is cut off from it', () => {
-    const world = new FailoverWorld({ watcherZones: ['tanger-nord', 'tanger-sud', 'tanger-sud'] })
-    world.runFor(SETTLE_MILLISECONDS)
-    world.intercept = (host, effect) =>
-      !(host === 2 && effect.kind === 'askPosition' && effect.server === world.server(0).id)
-    world.runFor(5_000)
-    expect(world.steps().includes('suspected')).toEqual(true)
-    expect(world.steps().includes('termTaken')).toEqual(false)
+    const simulation = new FailoverSimulation({
+      watcherZones: ['tanger-nord', 'tanger-sud', 'tanger-sud'],
+    })
+    simulation.runFor(WARM_UP_MILLISECONDS)
+    simulation.intercept = (host, effect) =>
+      !(host === 2 && effect.kind === 'askPosition' && effect.server === simulation.server(0).id)
+    simulation.runFor(5_000)
+    expect(simulation.steps().includes('suspected')).toEqual(true)
+    expect(simulation.steps().includes('termTaken')).toEqual(false)
   })
 })
--- a/packages/coordination/__tests__/failoverMove.spec.ts
+++ b/packages/coordination/__tests__/failoverMove.spec.ts
@@ -2,14 +2,14 @@
 import { expect } from 'earl'
 import type { FailoverEffect } from '@nutmegcourse/coordination'
 
-import { FailoverWorld, type WorldOptions } from './failoverWorld.js'
+import { FailoverSimulation, type SimulationOptions } from './failoverSimulation.js'
 
-const SETTLE_MILLISECONDS = 1_000
+const WARM_UP_MILLISECONDS = 1_000
 
-interface Story {
+interface MoveScenario {
   readonly name: string
-  readonly options?: WorldOptions
-  readonly act: (world: FailoverWorld) => void
+  readonly options?: SimulationOptions
+  readonly act: (simulation: FailoverSimulation) => void
   /** Virtual milliseconds from the operators' drain on. */
   readonly span?: number
   readonly gapBelow: number
@@ -21,12 +21,12 @@
   effect.kind === 'announce' && effect.record.phase.kind === 'moving'
 
 /** Runs `act` when proxies are first told to hold their writes. */
-function whenMoving(world: FailoverWorld, act: (host: string) => void): void {
+function whenMoving(simulation: FailoverSimulation, act: (host: string) => void): void {
   let isDone = false
-  world.intercept = (host, effect) => {
+  simulation.intercept = (host, effect) => {
     if (isDone || !isMovingAnnounced(effect)) return true
     isDone = true
-    act(world.hostName(host))
+    act(simulation.hostName(host))
     return true
   }
 }
@@ -36,7 +36,7 @@
    * Operators drain a backend server. Writes under way are lost or stop for seconds, or the move
    * hangs and holds every write because its target, its coordinator or the store has gone.
    */
-  const stories: readonly Story[] = [
+  const scenarios: readonly MoveScenario[] = [
     {
       name: 'to the server of its region that has caught up',
       act: () => undefined,
@@ -47,9 +47,9 @@
     {
       name: 'past a replica that is far behind',
       options: { lag: [0, 2_000, 0] },
-      act: world => {
-        world.runFor(5_000)
-        world.lag[1] = 0
+      act: simulation => {
+        simulation.runFor(5_000)
+        simulation.lag[1] = 0
       },
       gapBelow: 300,
       leader: 'server-2',
@@ -58,10 +58,10 @@
     {
       name: 'only once a replica has caught up',
       options: { lag: [0, 400, 400], failover: { moveLagMilliseconds: 250 } },
-      act: world => {
-        world.runFor(3_000)
-        expect(world.steps().includes('moveStarted')).toEqual(false)
-        world.lag = [0, 0, 0]
+      act: simulation => {
+        simulation.runFor(3_000)
+        expect(simulation.steps().includes('moveStarted')).toEqual(false)
+        simulation.lag = [0, 0, 0]
       },
       gapBelow: 500,
       leader: 'server-1',
@@ -69,8 +69,8 @@
     },
     {
       name: 'while the store is slow by half a second',
-      act: world => {
-        world.store.delay = 500
+      act: simulation => {
+        simulation.store.delay = 500
       },
       gapBelow: 150,
       leader: 'server-1',
@@ -78,11 +78,11 @@
     },
     {
       name: 'once a store that was down answers again',
-      act: world => {
-        world.store.state = 'down'
-        world.runFor(5_000)
-        expect(world.leader()?.id as string).toEqual('server-0')
-        world.store.state = 'up'
+      act: simulation => {
+        simulation.store.state = 'down'
+        simulation.runFor(5_000)
+        expect(simulation.leader()?.id as string).toEqual('server-0')
+        simulation.store.state = 'up'
       },
       span: 15_000,
       gapBelow: 150,
@@ -91,9 +91,9 @@
     },
     {
       name: 'to another server when the target dies in the move',
-      act: world => {
-        whenMoving(world, () => {
-          world.kill('server-1')
+      act: simulation => {
+        whenMoving(simulation, () => {
+          simulation.kill('server-1')
         })
       },
       span: 20_000,
@@ -103,9 +103,9 @@
     },
     {
       name: 'when the primary dies in the move',
-      act: world => {
-        whenMoving(world, () => {
-          world.kill('server-0')
+      act: simulation => {
+        whenMoving(simulation, () => {
+          simulation.kill('server-0')
         })
       },
       gapBelow: 400,
@@ -114,9 +114,9 @@
     },
     {
       name: 'when the coordinator dies in the move',
-      act: world => {
-        whenMoving(world, host => {
-          world.kill(host)
+      act: simulation => {
+        whenMoving(simulation, host => {
+          simulation.kill(host)
         })
       },
       span: 20_000,
@@ -126,11 +126,11 @@
     },
     {
       name: 'when the coordinator is frozen in the move and wakes after it',
-      act: world => {
-        whenMoving(world, host => {
-          world.network.freeze(host)
-          world.network.schedule(5_000, () => {
-            world.network.thaw(host)
+      act: simulation => {
+        whenMoving(simulation, host => {
+          simulation.network.freeze(host)
+          simulation.network.schedule(5_000, () => {
+            simulation.network.thaw(host)
           })
         })
       },
@@ -141,13 +141,13 @@
     },
     {
       name: 'when the store goes down and the target dies in the move',
-      act: world => {
-        whenMoving(world, () => {
-          world.store.state = 'down'
-          world.kill('server-1')
+      act: simulation => {
+        whenMoving(simulation, () => {
+          simulation.store.state = 'down'
+          simulation.kill('server-1')
         })
-        world.runFor(5_000)
-        world.store.state = 'up'
+        simulation.runFor(5_000)
+        simulation.store.state = 'up'
       },
       span: 30_000,
       gapBelow: 1_200,
@@ -156,10 +156,10 @@
     },
     {
       name: 'when the answer of the store to the move is lost',
-      act: world => {
-        world.store.state = 'answersLost'
-        world.runFor(2_000)
-        world.store.state = 'up'
+      act: simulation => {
+        simulation.store.state = 'answersLost'
+        simulation.runFor(2_000)
+        simulation.store.state = 'up'
       },
       span: 20_000,
       gapBelow: 300,
@@ -167,51 +167,51 @@
       steps: ['moveStarted', 'completed'],
     },
   ]
-  for (const story of stories) {
-    test(story.name, () => {
-      const world = new FailoverWorld(story.options)
-      world.runFor(SETTLE_MILLISECONDS)
-      const drainedAt = world.now
-      world.setLeaving(0)
-      story.act(world)
-      world.runFor(story.span ?? 8_000)
+  for (const scenario of scenarios) {
+    test(scenario.name, () => {
+      const simulation = new FailoverSimulation(scenario.options)
+      simulation.runFor(WARM_UP_MILLISECONDS)
+      const drainedAt = simulation.now
+      simulation.setLeaving(0)
+      scenario.act(simulation)
+      simulation.runFor(scenario.span ?? 8_000)
       const isFine =
-        world.converged() &&
-        world.gapSince(drainedAt) < story.gapBelow &&
-        (world.leader()?.id as string) === story.leader
-      if (!isFine) explain(world, drainedAt)
-      expect(world.broken()).toEqual([])
-      expect(world.converged()).toEqual(true)
-      expect(world.leader()?.id as string).toEqual(story.leader)
-      expect(world.gapSince(drainedAt)).toBeLessThan(story.gapBelow)
-      expect(isSubsequence(story.steps, world.steps())).toEqual(true)
+        simulation.hasConverged() &&
+        simulation.gapSince(drainedAt) < scenario.gapBelow &&
+        (simulation.leader()?.id as string) === scenario.leader
+      if (!isFine) printTrace(simulation, drainedAt)
+      expect(simulation.lostOrDuplicatedWrites()).toEqual([])
+      expect(simulation.hasConverged()).toEqual(true)
+      expect(simulation.leader()?.id as string).toEqual(scenario.leader)
+      expect(simulation.gapSince(drainedAt)).toBeLessThan(scenario.gapBelow)
+      expect(isSubsequence(scenario.steps, simulation.steps())).toEqual(true)
     })
   }
 
   test('in one change although the replicas are a little behind', () => {
-    const world = new FailoverWorld({ lag: [0, 200, 200] })
-    world.runFor(2_000)
-    world.setLeaving(0)
-    world.runFor(8_000)
-    expect(world.leader()?.id as string).toEqual('server-1')
-    expect(world.steps().filter(step => step === 'termTaken').length).toEqual(1)
-    expect(world.broken()).toEqual([])
+    const simulation = new FailoverSimulation({ lag: [0, 200, 200] })
+    simulation.runFor(2_000)
+    simulation.setLeaving(0)
+    simulation.runFor(8_000)
+    expect(simulation.leader()?.id as string).toEqual('server-1')
+    expect(simulation.steps().filter(step => step === 'termTaken').length).toEqual(1)
+    expect(simulation.lostOrDuplicatedWrites()).toEqual([])
   })
 
   test('and leaves it there while no other server stays', () => {
-    const world = new FailoverWorld()
-    world.runFor(SETTLE_MILLISECONDS)
-    world.setLeaving(0, 1, 2)
-    world.runFor(5_000)
-    expect(world.leader()?.id as string).toEqual('server-0')
-    expect(world.steps().includes('moveStarted')).toEqual(false)
+    const simulation = new FailoverSimulation()
+    simulation.runFor(WARM_UP_MILLISECONDS)
+    simulation.setLeaving(0, 1, 2)
+    simulation.runFor(5_000)
+    expect(simulation.leader()?.id as string).toEqual('server-0')
+    expect(simulation.steps().includes('moveStarted')).toEqual(false)
   })
 })
 
 /** Shown only by a failing test. */
-function explain(world: FailoverWorld, since: number): void {
-  console.log('gap', world.gapSince(since))
-  for (const event of world.events) {
+function printTrace(simulation: FailoverSimulation, since: number): void {
+  console.log('gap', simulation.gapSince(since))
+  for (const event of simulation.events) {
     console.log((event.at - since).toFixed(1), event.step, event.term, event.detail)
   }
 }
--- a/packages/coordination/__tests__/failoverWorld.ts
+++ b/packages/coordination/__tests__/failoverSimulation.ts
@@ -43,7 +43,7 @@
   routed: KnownRecord | null
 }
 
-export interface WorldOptions {
+export interface SimulationOptions {
   readonly seed?: number
   readonly failover?: Partial<FailoverOptions>
   readonly place?: Place
@@ -55,7 +55,7 @@
   readonly lag?: readonly number[]
 }
 
-export class FailoverWorld {
+export class FailoverSimulation {
   readonly network: VirtualNetwork
   readonly store: FakeRecordStore
   readonly writers: MajorityWriters
@@ -65,14 +65,14 @@
   /** Sees each effect first; false swallows it. */
   intercept: (host: number, effect: FailoverEffect) => boolean = () => true
   /** Sees each message before its host does. */
-  overhear: (host: number, message: FailoverMessage) => void = () => undefined
+  observeMessage: (host: number, message: FailoverMessage) => void = () => undefined
   lag: number[]
   /** What waits for the one control connection of a host to a server, while it is in use. */
-  readonly #waiting = new Map<string, (() => void)[]>()
+  readonly #queuedCalls = new Map<string, (() => void)[]>()
   #listed: readonly ListedBackendServer[]
-  readonly #options: WorldOptions
+  readonly #options: SimulationOptions
 
-  constructor(options: WorldOptions = {}) {
+  constructor(options: SimulationOptions = {}) {
     this.#options = options
     this.network = new VirtualNetwork(options.place ?? ATLAS_QUAI)
     this.lag = [...(options.lag ?? [0, 0, 0])]
@@ -167,7 +167,7 @@
     const node = this.node(index)
     node.core = this.#makeCore(node.watcher, index + 100)
     node.wakeAt = null
-    this.#greet(index)
+    this.#sendInitialMessages(index)
   }
 
   runFor(span: number): void {
@@ -188,14 +188,14 @@
   }
 
   /** The same of the host that waited longest, of those that are up and reachable. */
-  worstGapSince(from: number): number {
+  longestHostGapSince(from: number): number {
     const hosts = this.nodes.map(node => node.watcher.entryHost)
     const up = hosts.filter(host => !this.network.isOut(host))
     return Math.max(...up.map(host => this.writers.gapSince(from, host)))
   }
 
   /** Acknowledged writes that the leader's log lacks or holds twice. */
-  broken(): readonly number[] {
+  lostOrDuplicatedWrites(): readonly number[] {
     const held = (this.leader()?.log ?? []).flatMap(record => record.write ?? [])
     const counts = new Map<number, number>()
     for (const write of held) counts.set(write, (counts.get(write) ?? 0) + 1)
@@ -205,7 +205,7 @@
   }
 
   /** Whether every live server holds the leader's log and every live host routes to the leader. */
-  converged(): boolean {
+  hasConverged(): boolean {
     const leader = this.leader()
     if (leader === null) return false
     const servers = this.servers.filter(server => !this.network.isOut(server.id))
@@ -257,10 +257,10 @@
 
   #receive(host: number, message: FailoverMessage): void {
     const node = this.node(host)
-    this.overhear(host, message)
+    this.observeMessage(host, message)
     if (message.kind === 'record') this.#route(node, message)
     for (const effect of node.core.handle(message, this.clock.now())) {
-      if (this.intercept(host, effect)) this.carryOut(host, effect)
+      if (this.intercept(host, effect)) this.executeEffect(host, effect)
     }
     if (node.core.known !== null) this.#route(node, node.core.known)
     this.#scheduleWake(host)
@@ -268,11 +268,11 @@
 
   #startNodes(): void {
     this.nodes.forEach((_, index) => {
-      this.#greet(index)
+      this.#sendInitialMessages(index)
     })
   }
 
-  #greet(index: number): void {
+  #sendInitialMessages(index: number): void {
     const watchers = this.nodes.map(node => node.watcher)
     this.send(index, { kind: 'watchers', watchers })
     this.send(index, { kind: 'backendServers', servers: this.#listed })
@@ -294,7 +294,7 @@
   }
 
   /** Runs an effect, past `intercept`. */
-  carryOut(host: number, effect: FailoverEffect): void {
+  executeEffect(host: number, effect: FailoverEffect): void {
     switch (effect.kind) {
       case 'askPosition':
         this.#askPosition(host, effect)
@@ -315,12 +315,12 @@
         })
         return
       case 'tellWatchers':
-        this.#tellOthers(host, { kind: 'opinion', opinion: effect.opinion })
+        this.#sendToOthers(host, { kind: 'opinion', opinion: effect.opinion })
         return
       case 'announce': {
         const { record, revision } = effect
         this.#route(this.node(host), { record, revision })
-        this.#tellOthers(host, { kind: 'record', record, revision })
+        this.#sendToOthers(host, { kind: 'record', record, revision })
         return
       }
       case 'event':
@@ -329,7 +329,7 @@
     }
   }
 
-  #tellOthers(host: number, message: FailoverMessage): void {
+  #sendToOthers(host: number, message: FailoverMessage): void {
     const from = this.hostName(host)
     this.nodes.forEach((node, index) => {
       if (index === host) return
@@ -345,7 +345,7 @@
     const fail = (failure: ControlFailure): void => {
       this.send(host, { kind: 'positionFailed', server, failure, askedAt })
     }
-    this.#ask(
+    this.#call(
       host,
       effect,
       target => ({ kind: 'report', report: target.report() }),
@@ -365,12 +365,12 @@
     const fail = (failure: ControlFailure): void => {
       this.send(host, { kind: 'controlFailed', call, failure })
     }
-    this.#ask(host, effect, run, fail, report => {
+    this.#call(host, effect, run, fail, report => {
       this.send(host, { kind: 'controlAnswered', call, report })
     })
   }
 
-  #ask(
+  #call(
     host: number,
     effect: { readonly server: string; readonly timeoutMilliseconds: number },
     run: (server: FakeBackendServer) => ControlReply,
@@ -427,18 +427,18 @@
 
   /** Runs now, or when those before it on the connection are answered. */
   #whenFree(link: string, run: () => void): void {
-    const waiting = this.#waiting.get(link)
+    const waiting = this.#queuedCalls.get(link)
     if (waiting !== undefined) {
       waiting.push(run)
       return
     }
-    this.#waiting.set(link, [])
+    this.#queuedCalls.set(link, [])
     run()
   }
 
   #release(link: string): void {
-    const next = this.#waiting.get(link)?.shift()
-    if (next === undefined) this.#waiting.delete(link)
+    const next = this.#queuedCalls.get(link)?.shift()
+    if (next === undefined) this.#queuedCalls.delete(link)
     else next()
   }
 
--- a/packages/coordination/__tests__/fakeRecordStore.ts
+++ b/packages/coordination/__tests__/fakeRecordStore.ts
@@ -7,7 +7,7 @@
 export type StoreEffect = Extract<FailoverEffect, { kind: 'readRecord' | 'swapRecord' }>
 
 const STORE = 'store'
-const OWN_MILLISECONDS = 2
+const PROCESSING_MILLISECONDS = 2
 
 export class FakeRecordStore {
   state: 'up' | 'down' | 'answersLost' = 'up'
@@ -43,7 +43,7 @@
     })
     if (this.state === 'down') return
     this.#network.pass(from, STORE, () => {
-      this.#network.schedule(OWN_MILLISECONDS + this.delay, () => {
+      this.#network.schedule(PROCESSING_MILLISECONDS + this.delay, () => {
         this.#finish(from, effect, once)
       })
     })
--- a/packages/coordination/__tests__/majorityWriters.ts
+++ b/packages/coordination/__tests__/majorityWriters.ts
@@ -5,8 +5,8 @@
 import type { VirtualNetwork } from './virtualNetwork.js'
 
 const WRITE_INTERVAL_MILLISECONDS = 5
-const QUESTION_INTERVAL_MILLISECONDS = 10
-const GIVE_UP_MILLISECONDS = 500
+const POLL_INTERVAL_MILLISECONDS = 10
+const CONFIRMATION_TIMEOUT_MILLISECONDS = 500
 
 interface Acknowledgement {
   readonly write: number
@@ -14,7 +14,7 @@
   readonly host: string
 }
 
-interface RunWrite {
+interface PendingWrite {
   readonly host: string
   readonly write: number
   readonly primary: FakeBackendServer
@@ -75,17 +75,17 @@
   }
 
   /** Asks the others again until one more holds the write. */
-  #confirm(run: RunWrite): void {
+  #confirm(run: PendingWrite): void {
     for (const server of this.#servers) {
       if (server !== run.primary) this.#askFor(run, server)
     }
-    if (this.#network.now - run.ranAt > GIVE_UP_MILLISECONDS) return
-    this.#network.schedule(QUESTION_INTERVAL_MILLISECONDS, () => {
+    if (this.#network.now - run.ranAt > CONFIRMATION_TIMEOUT_MILLISECONDS) return
+    this.#network.schedule(POLL_INTERVAL_MILLISECONDS, () => {
       if (!this.#acknowledgedWrites.has(run.write)) this.#confirm(run)
     })
   }
 
-  #askFor(run: RunWrite, server: FakeBackendServer): void {
+  #askFor(run: PendingWrite, server: FakeBackendServer): void {
     const { host, position, write } = run
     this.#network.pass(host, server.id, () => {
       if (this.#network.isDead(server.id)) return
--- a/packages/coordination/src/failoverAgreement.ts
+++ b/packages/coordination/src/failoverAgreement.ts
@@ -1,4 +1,4 @@
-/** The watchers' opinions of the primary, and whether enough of them suspect it. */
+/** Collects the watchers' opinions of the primary and decides whether enough of them suspect it. */
 import {
   majorityOf,
   addMilliseconds,
@@ -12,14 +12,14 @@
 
 import type { Watcher, WatcherOpinion } from './failoverMessages.js'
 import type { FailoverOptions } from './failoverOptions.js'
-import type { FailoverOutlet } from './failoverOutlet.js'
+import type { FailoverEffectQueue } from './failoverEffectQueue.js'
 
-interface HeardOpinion {
+interface ReceivedOpinion {
   readonly opinion: WatcherOpinion
-  readonly heardAt: Milliseconds
+  readonly receivedAt: Milliseconds
 }
 
-/** The primary that opinions are about; a new one starts a new count. */
+/** The primary that opinions are about; opinions of an earlier primary or term do not count. */
 export interface OpinionSubject {
   readonly server: BackendServerId
   readonly term: Term
@@ -29,60 +29,60 @@
   readonly #database: DatabaseId
   readonly #self: Watcher
   readonly #options: FailoverOptions
-  readonly #outlet: FailoverOutlet
+  readonly #effects: FailoverEffectQueue
   #watchers: readonly Watcher[] = []
-  readonly #heard = new Map<EntryHostId, HeardOpinion>()
+  readonly #received = new Map<EntryHostId, ReceivedOpinion>()
   #subject: OpinionSubject | null = null
   #suspectedSince: Milliseconds | null = null
   #agreedSince: Milliseconds | null = null
-  #toldAt: Milliseconds | null = null
+  #lastSentAt: Milliseconds | null = null
   #sequence = 0
 
   constructor(
     database: DatabaseId,
     self: Watcher,
     options: FailoverOptions,
-    outlet: FailoverOutlet,
+    effects: FailoverEffectQueue,
   ) {
     this.#database = database
     this.#self = self
     this.#options = options
-    this.#outlet = outlet
+    this.#effects = effects
   }
 
   get watchers(): readonly Watcher[] {
     return this.#watchers
   }
 
-  /** A host that no longer watches this database must not act for it. */
-  get watches(): boolean {
+  /** Whether this host watches the database; a host that does not must not act for it. */
+  get isWatcher(): boolean {
     return this.#watchers.some(watcher => watcher.entryHost === this.#self.entryHost)
   }
 
-  /** This watcher's place in the order of tries. */
+  /** This watcher's place in the order in which watchers try to coordinate. */
   get rank(): number {
     return this.#watchers.findIndex(watcher => watcher.entryHost === this.#self.entryHost)
   }
 
   setWatchers(watchers: readonly Watcher[]): void {
     this.#watchers = watchers
-    for (const host of this.#heard.keys()) {
-      if (!watchers.some(watcher => watcher.entryHost === host)) this.#heard.delete(host)
+    for (const host of this.#received.keys()) {
+      if (!watchers.some(watcher => watcher.entryHost === host)) this.#received.delete(host)
     }
-    this.#toldAt = null
+    this.#lastSentAt = null
   }
 
-  hear(opinion: WatcherOpinion, now: Milliseconds): void {
-    const last = this.#heard.get(opinion.watcher)
-    // A host that was restarted counts from the start again, after its old word has expired.
+  receive(opinion: WatcherOpinion, now: Milliseconds): void {
+    const last = this.#received.get(opinion.watcher)
+    // A restarted host numbers its opinions from 1 again; they count once its last one has expired.
     if (last !== undefined && this.#isFresh(last, now)) {
       if (last.opinion.sequence >= opinion.sequence) return
     }
-    this.#heard.set(opinion.watcher, { opinion, heardAt: now })
+    this.#received.set(opinion.watcher, { opinion, receivedAt: now })
   }
 
-  /** Notes how this watcher finds the primary; tells the others of a change at once. */
-  form(subject: OpinionSubject | null, suspected: boolean, now: Milliseconds): void {
+  /** Sets this watcher's own opinion of the primary; sends a changed opinion to the others at once. */
+  setOwnOpinion(subject: OpinionSubject | null, suspected: boolean, now: Milliseconds): void {
     const isSame =
       subject?.server === this.#subject?.server && subject?.term === this.#subject?.term
     const wasSuspected = this.#suspectedSince !== null
@@ -91,19 +91,19 @@
     if (suspected) this.#suspectedSince ??= now
     this.#subject = subject
     if (subject === null) return
-    if (!isSame || wasSuspected !== suspected || this.#isRepetitionDue(now)) {
-      this.#tell(subject, suspected, now)
+    if (!isSame || wasSuspected !== suspected || this.#isResendDue(now)) {
+      this.#send(subject, suspected, now)
     }
   }
 
-  /** When the watchers came to agree that the primary has to be replaced; null while they do not. */
+  /** Since when the watchers agree that the primary must be replaced; null while they do not. */
   agreedSince(now: Milliseconds): Milliseconds | null {
     if (this.#isAgreed(now)) this.#agreedSince ??= now
     else this.#agreedSince = null
     return this.#agreedSince
   }
 
-  /** How many watchers that suspect the primary too come before this one. */
+  /** How many of the watchers that suspect the primary rank before this one. */
   rankAmongSuspecting(now: Milliseconds): number {
     const suspecting = this.#suspecting(now)
     const place = suspecting.findIndex(watcher => watcher.entryHost === this.#self.entryHost)
@@ -112,17 +112,17 @@
 
   nextWake(): Milliseconds | null {
     if (this.#subject === null) return null
-    if (this.#toldAt === null) return milliseconds(0)
-    const repetition = addMilliseconds(this.#toldAt, this.#options.opinionIntervalMilliseconds)
+    if (this.#lastSentAt === null) return milliseconds(0)
+    const repetition = addMilliseconds(this.#lastSentAt, this.#options.opinionIntervalMilliseconds)
     if (this.#suspectedSince === null || this.#agreedSince !== null) return repetition
     const alone = this.#suspectedSince + this.#options.soleWatcherMilliseconds
-    return milliseconds(alone > this.#toldAt ? Math.min(repetition, alone) : repetition)
+    return milliseconds(alone > this.#lastSentAt ? Math.min(repetition, alone) : repetition)
   }
 
   /**
-   * A majority of the watchers, from more than one zone, rules out that one zone's lost link is
-   * taken for a dead primary. Where watchers were lost along with the primary, those left would
-   * wait for them in vain: one that nobody contradicts goes on by itself after a longer bound.
+   * A majority of the watchers from more than one zone is required, so that the lost link of one
+   * zone is not taken for a dead primary. If watchers failed together with the primary, no majority
+   * may be left; a watcher that no other contradicts then acts alone after a longer time.
    */
   #isAgreed(now: Milliseconds): boolean {
     if (this.#suspectedSince === null) return false
@@ -150,27 +150,27 @@
     )
   }
 
-  /** The watcher's word on the current subject, unless it is too old to count. */
+  /** The watcher's opinion on the current subject; null if there is none or it has expired. */
   #opinionOf(watcher: Watcher, now: Milliseconds): WatcherOpinion | null {
-    const heard = this.#heard.get(watcher.entryHost)
-    if (heard === undefined || !this.#isFresh(heard, now)) return null
-    const { opinion } = heard
+    const received = this.#received.get(watcher.entryHost)
+    if (received === undefined || !this.#isFresh(received, now)) return null
+    const { opinion } = received
     const isOnSubject =
       opinion.about === this.#subject?.server && opinion.term === this.#subject.term
     return isOnSubject ? opinion : null
   }
 
-  #isFresh(heard: HeardOpinion, now: Milliseconds): boolean {
-    return now - heard.heardAt < this.#options.opinionLifetimeMilliseconds
+  #isFresh(received: ReceivedOpinion, now: Milliseconds): boolean {
+    return now - received.receivedAt < this.#options.opinionLifetimeMilliseconds
   }
 
-  #isRepetitionDue(now: Milliseconds): boolean {
-    if (this.#toldAt === null) return true
-    return now - this.#toldAt >= this.#options.opinionIntervalMilliseconds
+  #isResendDue(now: Milliseconds): boolean {
+    if (this.#lastSentAt === null) return true
+    return now - this.#lastSentAt >= this.#options.opinionIntervalMilliseconds
   }
 
-  #tell(subject: OpinionSubject, suspected: boolean, now: Milliseconds): void {
-    this.#toldAt = now
+  #send(subject: OpinionSubject, suspected: boolean, now: Milliseconds): void {
+    this.#lastSentAt = now
     this.#sequence += 1
     const opinion: WatcherOpinion = {
       database: this.#database,
@@ -182,7 +182,7 @@
       suspected,
       sequence: this.#sequence,
     }
-    this.#outlet.emit({ kind: 'tellWatchers', opinion })
+    this.#effects.emit({ kind: 'tellWatchers', opinion })
   }
 }
 
--- a/packages/coordination/src/failoverAttempt.ts
+++ b/packages/coordination/src/failoverAttempt.ts
@@ -1,10 +1,12 @@
 /**
- * One attempt at a change of primary: fences a majority at its own term, chooses, promotes.
+ * One attempt at a change of primary: fences a majority at its own term, chooses a leader and
+ * promotes it.
  *
- * Safety rests on the backend servers alone. The term belongs to this attempt; a server promises
- * it by being fenced, as an acceptor promises a Paxos ballot, and is promoted only while that is
- * the newest it promised. So a coordinator that was frozen between any two steps finds its term
- * refused, and two that race cannot both promote once a majority answered the later one.
+ * Safety depends on the backend servers alone. The term belongs to this attempt only. A server that
+ * is fenced at a term promises it, as an acceptor promises a Paxos ballot, and can be promoted only
+ * while that is the newest term it has promised. A coordinator that was frozen between two steps
+ * therefore finds its term refused, and two concurrent coordinators cannot both promote once a
+ * majority has answered the later one.
  */
 import {
   addMilliseconds,
@@ -16,64 +18,64 @@
 } from '@nutmegcourse/shared'
 import type { ListedBackendServer, PositionReport } from '@nutmegcourse/protocol'
 
-import { chooseLeader, type Candidate, type ChoiceWishes } from './failoverChoice.js'
+import { chooseLeader, type Candidate, type LeaderPreferences } from './failoverChoice.js'
 import type { CallId, ControlFailure } from './failoverMessages.js'
 import type { FailoverOptions } from './failoverOptions.js'
-import type { FailoverOutlet } from './failoverOutlet.js'
+import type { FailoverEffectQueue } from './failoverEffectQueue.js'
 
 export interface AttemptPlan {
   readonly term: Term
   readonly servers: readonly ListedBackendServer[]
-  /** How many of the group's servers have to be fenced. */
+  /** The number of servers that must be fenced before a leader is chosen. */
   readonly majority: number
-  readonly wishes: ChoiceWishes
-  /** Servers whose fence is worth waiting for, within a bound, although a majority is there. */
+  readonly preferences: LeaderPreferences
+  /** Servers to wait for, up to the call timeout, even after a majority has been fenced. */
   readonly awaited: readonly BackendServerId[]
 }
 
-export type AttemptNews =
+export type AttemptResult =
   | { readonly kind: 'none' }
   | { readonly kind: 'chosen'; readonly candidate: Candidate; readonly fenced: number }
   | { readonly kind: 'promoted'; readonly leader: BackendServerId }
-  /** The term is outdated, or too few servers answered in time. */
+  /** The term is outdated, the chosen server is gone, or the attempt timed out. */
   | { readonly kind: 'failed'; readonly detail: string }
 
-interface ServerCall {
+interface PendingCall {
   readonly step: 'fence' | 'promote'
   readonly server: BackendServerId
   readonly call: CallId
-  readonly givenUpAt: Milliseconds
+  readonly expiresAt: Milliseconds
 }
 
-interface PlannedCall {
+interface ScheduledRetry {
   readonly step: 'fence' | 'promote'
   readonly server: BackendServerId
   readonly at: Milliseconds
 }
 
-const NO_NEWS: AttemptNews = { kind: 'none' }
-/** Beyond a call's own timeout, in which the shell should have said that it failed. */
-const LOST_CALL_MILLISECONDS = 100
+const NO_RESULT: AttemptResult = { kind: 'none' }
+/** Added to a call's own timeout, within which the caller should have reported the failure. */
+const CALL_TIMEOUT_MARGIN_MILLISECONDS = 100
 
 export class FailoverAttempt {
   readonly #plan: AttemptPlan
   readonly #options: FailoverOptions
-  readonly #outlet: FailoverOutlet
+  readonly #effects: FailoverEffectQueue
   readonly #startedAt: Milliseconds
   readonly #fenced = new Map<BackendServerId, Candidate>()
-  #calls: readonly ServerCall[] = []
-  #planned: readonly PlannedCall[] = []
+  #calls: readonly PendingCall[] = []
+  #retries: readonly ScheduledRetry[] = []
   #chosen: Candidate | null = null
 
   constructor(
     plan: AttemptPlan,
     options: FailoverOptions,
-    outlet: FailoverOutlet,
+    effects: FailoverEffectQueue,
     now: Milliseconds,
   ) {
     this.#plan = plan
     this.#options = options
-    this.#outlet = outlet
+    this.#effects = effects
     this.#startedAt = now
     for (const server of plan.servers) this.#send('fence', server.id, now)
   }
@@ -86,50 +88,53 @@
     return this.#chosen?.server.id ?? null
   }
 
-  answered(call: CallId, report: PositionReport, now: Milliseconds): AttemptNews {
-    const asked = this.#takeCall(call)
-    if (asked === null) return NO_NEWS
-    switch (asked.step) {
+  answered(call: CallId, report: PositionReport, now: Milliseconds): AttemptResult {
+    const pending = this.#takeCall(call)
+    if (pending === null) return NO_RESULT
+    switch (pending.step) {
       case 'fence':
-        this.#noteFenced(asked.server, report)
+        this.#noteFenced(pending.server, report)
         return this.#choose(now)
       case 'promote':
-        return this.#judgeLeader(asked.server, report)
+        return this.#checkPromotion(pending.server, report)
       default:
-        return assertNever(asked.step)
+        return assertNever(pending.step)
     }
   }
 
-  failed(call: CallId, failure: ControlFailure, now: Milliseconds): AttemptNews {
-    const asked = this.#takeCall(call)
-    if (asked === null) return NO_NEWS
+  failed(call: CallId, failure: ControlFailure, now: Milliseconds): AttemptResult {
+    const pending = this.#takeCall(call)
+    if (pending === null) return NO_RESULT
     if (failure === 'staleTerm') {
-      return { kind: 'failed', detail: `${asked.server} is fenced at a newer term` }
+      return { kind: 'failed', detail: `${pending.server} is fenced at a newer term` }
     }
-    if (asked.step === 'promote' && failure === 'refused') {
-      return { kind: 'failed', detail: `${asked.server} is gone before it was promoted` }
+    if (pending.step === 'promote' && failure === 'refused') {
+      return {
+        kind: 'failed',
+        detail: `${pending.server} refused connections before it was promoted`,
+      }
     }
     const wait = failure === 'timeout' ? 0 : this.#options.callRetryMilliseconds
     const at = addMilliseconds(now, wait)
-    this.#planned = [...this.#planned, { step: asked.step, server: asked.server, at }]
+    this.#retries = [...this.#retries, { step: pending.step, server: pending.server, at }]
     return this.advance(now)
   }
 
-  /** A watched position settles a promotion whose own answer was lost. */
-  observed(server: BackendServerId, report: PositionReport): AttemptNews {
-    return server === this.chosen ? this.#judgeLeader(server, report) : NO_NEWS
+  /** Confirms a promotion from a polled position, in case the promotion's own answer was lost. */
+  observed(server: BackendServerId, report: PositionReport): AttemptResult {
+    return server === this.chosen ? this.#checkPromotion(server, report) : NO_RESULT
   }
 
-  advance(now: Milliseconds): AttemptNews {
-    for (const call of this.#calls.filter(call => now >= call.givenUpAt)) {
+  advance(now: Milliseconds): AttemptResult {
+    for (const call of this.#calls.filter(call => now >= call.expiresAt)) {
       this.#takeCall(call.call)
-      this.#planned = [...this.#planned, { step: call.step, server: call.server, at: now }]
+      this.#retries = [...this.#retries, { step: call.step, server: call.server, at: now }]
     }
-    const due = this.#planned.filter(planned => now >= planned.at)
-    this.#planned = this.#planned.filter(planned => now < planned.at)
-    for (const planned of due) this.#send(planned.step, planned.server, now)
+    const due = this.#retries.filter(retry => now >= retry.at)
+    this.#retries = this.#retries.filter(retry => now < retry.at)
+    for (const retry of due) this.#send(retry.step, retry.server, now)
     if (now - this.#startedAt >= this.#options.attemptMilliseconds) {
-      return { kind: 'failed', detail: this.#describeWait() }
+      return { kind: 'failed', detail: this.#describeTimeout() }
     }
     return this.#choose(now)
   }
@@ -137,64 +142,64 @@
   nextWake(): Milliseconds {
     const times = [
       addMilliseconds(this.#startedAt, this.#options.attemptMilliseconds),
-      ...this.#calls.map(call => call.givenUpAt),
-      ...this.#planned.map(planned => planned.at),
+      ...this.#calls.map(call => call.expiresAt),
+      ...this.#retries.map(retry => retry.at),
     ]
-    if (this.#chosen === null && this.#hasMajority()) times.push(this.#patienceEnds())
+    if (this.#chosen === null && this.#hasMajority()) times.push(this.#awaitedUntil())
     return milliseconds(Math.min(...times))
   }
 
   #noteFenced(server: BackendServerId, report: PositionReport): void {
-    // A server that already promised more cannot be counted at this term.
+    // A server that has promised a newer term does not count towards the majority of this one.
     if (report.fencedTerm !== this.#plan.term) return
     const listed = this.#plan.servers.find(candidate => candidate.id === server)
     if (listed !== undefined)
       this.#fenced.set(server, { server: listed, position: report.position })
   }
 
-  #choose(now: Milliseconds): AttemptNews {
-    if (this.#chosen !== null || !this.#hasMajority()) return NO_NEWS
+  #choose(now: Milliseconds): AttemptResult {
+    if (this.#chosen !== null || !this.#hasMajority()) return NO_RESULT
     const isComplete = this.#plan.awaited.every(server => this.#fenced.has(server))
-    if (!isComplete && now < this.#patienceEnds()) return NO_NEWS
-    const candidate = chooseLeader([...this.#fenced.values()], this.#plan.wishes)
-    if (candidate === null) return NO_NEWS
+    if (!isComplete && now < this.#awaitedUntil()) return NO_RESULT
+    const candidate = chooseLeader([...this.#fenced.values()], this.#plan.preferences)
+    if (candidate === null) return NO_RESULT
     this.#chosen = candidate
     this.#send('promote', candidate.server.id, now)
     return { kind: 'chosen', candidate, fenced: this.#fenced.size }
   }
 
-  #judgeLeader(server: BackendServerId, report: PositionReport): AttemptNews {
+  #checkPromotion(server: BackendServerId, report: PositionReport): AttemptResult {
     const { term } = this.#plan
     if (report.fencedTerm > term) {
       return { kind: 'failed', detail: `${server} is fenced at a newer term` }
     }
     const leads = report.role === 'primary' && report.position.term === term
-    return leads ? { kind: 'promoted', leader: server } : NO_NEWS
+    return leads ? { kind: 'promoted', leader: server } : NO_RESULT
   }
 
   #hasMajority(): boolean {
     return this.#fenced.size >= this.#plan.majority
   }
 
-  #patienceEnds(): Milliseconds {
+  #awaitedUntil(): Milliseconds {
     return addMilliseconds(this.#startedAt, this.#options.callTimeoutMilliseconds)
   }
 
   #send(step: 'fence' | 'promote', server: BackendServerId, now: Milliseconds): void {
-    const call = this.#outlet.newCall()
+    const call = this.#effects.nextCallId()
     const timeoutMilliseconds = this.#options.callTimeoutMilliseconds
-    const givenUpAt = addMilliseconds(now, timeoutMilliseconds + LOST_CALL_MILLISECONDS)
-    this.#calls = [...this.#calls, { step, server, call, givenUpAt }]
-    this.#outlet.emit({ kind: step, call, server, term: this.#plan.term, timeoutMilliseconds })
+    const expiresAt = addMilliseconds(now, timeoutMilliseconds + CALL_TIMEOUT_MARGIN_MILLISECONDS)
+    this.#calls = [...this.#calls, { step, server, call, expiresAt }]
+    this.#effects.emit({ kind: step, call, server, term: this.#plan.term, timeoutMilliseconds })
   }
 
-  #takeCall(call: CallId): ServerCall | null {
+  #takeCall(call: CallId): PendingCall | null {
     const found = this.#calls.find(candidate => candidate.call === call) ?? null
     this.#calls = this.#calls.filter(candidate => candidate !== found)
     return found
   }
 
-  #describeWait(): string {
+  #describeTimeout(): string {
     if (this.#chosen !== null) return `${this.#chosen.server.id} did not answer its promotion`
     return `only ${this.#fenced.size} of ${this.#plan.servers.length} servers were fenced`
   }
--- a/packages/coordination/src/failoverChange.ts
+++ b/packages/coordination/src/failoverChangeController.ts
@@ -1,4 +1,4 @@
-/** This watcher's attempts at a change of primary: one at a time, spaced by a growing wait. */
+/** Runs this watcher's attempts to change the primary: one at a time, with back-off in between. */
 import {
   addMilliseconds,
   assertNever,
@@ -9,60 +9,60 @@
 import type { GroupRecord, PositionReport } from '@nutmegcourse/protocol'
 import { formatPosition, type BackendServerId } from '@nutmegcourse/shared'
 
-import { FailoverAttempt, type AttemptNews } from './failoverAttempt.js'
+import { FailoverAttempt, type AttemptResult } from './failoverAttempt.js'
 import type { FailoverContext } from './failoverContext.js'
 import type { CallId, ControlFailure } from './failoverMessages.js'
 import type { MovePlan } from './failoverMove.js'
-import { backOff } from './failoverOptions.js'
+import { backOffMilliseconds } from './failoverOptions.js'
 import { findChangeReason } from './failoverReason.js'
 import { withChosen, withLeader } from './failoverRecord.js'
 import { drawTerm, laterTerm } from './failoverTerm.js'
 
-const GREATEST_RETRY_FACTOR = 16
+const MAX_RETRY_FACTOR = 16
 
-export class FailoverChange {
+export class FailoverChangeController {
   readonly #context: FailoverContext
   /** Called when a new primary leads. */
-  readonly #complete: (record: GroupRecord, now: Milliseconds) => void
+  readonly #onCompleted: (record: GroupRecord, now: Milliseconds) => void
   #attempt: FailoverAttempt | null = null
   #failures = 0
   #retryAt: Milliseconds = milliseconds(0)
 
   constructor(
     context: FailoverContext,
-    complete: (record: GroupRecord, now: Milliseconds) => void,
+    onCompleted: (record: GroupRecord, now: Milliseconds) => void,
   ) {
     this.#context = context
-    this.#complete = complete
+    this.#onCompleted = onCompleted
   }
 
-  get isUnderWay(): boolean {
+  get isInProgress(): boolean {
     return this.#attempt !== null
   }
 
-  /** Starts an attempt when there is a reason, this watcher's turn has come and it may succeed. */
-  consider(now: Milliseconds): void {
+  /** Starts an attempt when there is a reason, it is this watcher's turn and a majority is reachable. */
+  startIfNeeded(now: Milliseconds): void {
     if (this.#attempt !== null || now < this.#retryAt) return
     const reason = findChangeReason(this.#context, now)
-    if (reason === null || now < reason.from) return
+    if (reason === null || now < reason.notBefore) return
     if (!this.#context.group.canReachMajority(now)) return
     this.start(reason.detail, null, now)
   }
 
   start(detail: string, move: MovePlan | null, now: Milliseconds): void {
-    const { agreement, group, journal, options, outlet, records } = this.#context
-    const record = this.#takeTerm(move)
-    journal.note('agreed', record.term, detail, now)
-    journal.note('termTaken', record.term, `by ${this.#context.self.entryHost}`, now)
-    records.adopt(record, agreement.rank, now)
-    const wishes = { target: move?.target ?? null, lastPrimary: group.listed(record.primary) }
+    const { agreement, group, eventLog, options, effects, records } = this.#context
+    const record = this.#createRecord(move)
+    eventLog.append('agreed', record.term, detail, now)
+    eventLog.append('termTaken', record.term, `by ${this.#context.self.entryHost}`, now)
+    records.publish(record, agreement.rank, now)
+    const preferences = { target: move?.target ?? null, lastPrimary: group.listed(record.primary) }
     const awaited = move === null ? [] : [move.primary, move.target]
     const { majority, servers } = group
-    const plan = { term: record.term, servers, majority, wishes, awaited }
-    this.#attempt = new FailoverAttempt(plan, options, outlet, now)
+    const plan = { term: record.term, servers, majority, preferences, awaited }
+    this.#attempt = new FailoverAttempt(plan, options, effects, now)
   }
 
-  /** Another took a newer term, or this host may not act any more. */
+  /** Abandons the attempt when another took a newer term or, for null, this host stopped watching. */
   yieldTo(newest: GroupRecord | null, now: Milliseconds): void {
     if (this.#attempt === null) return
     if (newest === null) this.#abandon('this host no longer watches the database', now)
@@ -71,35 +71,35 @@
     }
   }
 
-  /** A primary leads, so the next change starts without the waits of this one. */
-  settled(): void {
+  /** Called when a primary leads: the next change starts without the back-off of this one. */
+  resetRetries(): void {
     this.#failures = 0
   }
 
   answered(call: CallId, report: PositionReport, now: Milliseconds): void {
-    this.#note(this.#attempt?.answered(call, report, now), now)
+    this.#handleResult(this.#attempt?.answered(call, report, now), now)
   }
 
   failed(call: CallId, failure: ControlFailure, now: Milliseconds): void {
-    this.#note(this.#attempt?.failed(call, failure, now), now)
+    this.#handleResult(this.#attempt?.failed(call, failure, now), now)
   }
 
   observed(server: BackendServerId, report: PositionReport, now: Milliseconds): void {
-    this.#note(this.#attempt?.observed(server, report), now)
+    this.#handleResult(this.#attempt?.observed(server, report), now)
   }
 
   advance(now: Milliseconds): void {
-    this.#note(this.#attempt?.advance(now), now)
-    this.consider(now)
+    this.#handleResult(this.#attempt?.advance(now), now)
+    this.startIfNeeded(now)
   }
 
   nextWake(now: Milliseconds): Milliseconds | null {
     if (this.#attempt !== null) return this.#attempt.nextWake()
     const reason = findChangeReason(this.#context, now)
-    return reason === null ? null : milliseconds(Math.max(reason.from, this.#retryAt))
+    return reason === null ? null : milliseconds(Math.max(reason.notBefore, this.#retryAt))
   }
 
-  #takeTerm(move: MovePlan | null): GroupRecord {
+  #createRecord(move: MovePlan | null): GroupRecord {
     const { database, group, makeAttemptId, random, records, self } = this.#context
     const { record } = records
     const newest = laterTerm(group.newestTerm(), record?.term ?? group.newestTerm())
@@ -114,42 +114,46 @@
     }
   }
 
-  #note(news: AttemptNews | undefined, now: Milliseconds): void {
+  #handleResult(result: AttemptResult | undefined, now: Milliseconds): void {
     const attempt = this.#attempt
-    const { agreement, journal, records } = this.#context
-    if (news === undefined || attempt === null || records.record === null) return
-    switch (news.kind) {
+    const { agreement, eventLog, records } = this.#context
+    if (result === undefined || attempt === null || records.record === null) return
+    switch (result.kind) {
       case 'none':
         return
       case 'chosen': {
-        const { server, position } = news.candidate
-        journal.note('fenced', attempt.term, `${news.fenced} servers`, now)
-        journal.note('chosen', attempt.term, `${server.id} at ${formatPosition(position)}`, now)
-        records.adopt(withChosen(records.record, server.id, position), agreement.rank, now)
+        const { server, position } = result.candidate
+        eventLog.append('fenced', attempt.term, `${result.fenced} servers`, now)
+        eventLog.append('chosen', attempt.term, `${server.id} at ${formatPosition(position)}`, now)
+        records.publish(withChosen(records.record, server.id, position), agreement.rank, now)
         return
       }
       case 'promoted':
         this.#attempt = null
-        journal.note('promoted', attempt.term, news.leader, now)
-        this.#complete(withLeader(records.record, news.leader), now)
+        eventLog.append('promoted', attempt.term, result.leader, now)
+        this.#onCompleted(withLeader(records.record, result.leader), now)
         return
       case 'failed':
-        this.#abandon(news.detail, now)
+        this.#abandon(result.detail, now)
         return
       default:
-        assertNever(news)
+        assertNever(result)
     }
   }
 
   #abandon(detail: string, now: Milliseconds): void {
-    const { journal, options, random } = this.#context
+    const { eventLog, options, random } = this.#context
     const attempt = this.#attempt
     if (attempt === null) return
     this.#attempt = null
     this.#failures += 1
-    const wait = backOff(options.attemptRetryMilliseconds, this.#failures, GREATEST_RETRY_FACTOR)
-    // Two that abandon for each other would otherwise try again at the same moment.
+    const wait = backOffMilliseconds(
+      options.attemptRetryMilliseconds,
+      this.#failures,
+      MAX_RETRY_FACTOR,
+    )
+    // Without jitter, two watchers that preempted each other would retry at the same time.
     this.#retryAt = addMilliseconds(now, drawnApart(wait, random))
-    journal.note('abandoned', attempt.term, detail, now)
+    eventLog.append('abandoned', attempt.term, detail, now)
   }
 }
--- a/packages/coordination/src/failoverChoice.ts
+++ b/packages/coordination/src/failoverChoice.ts
@@ -1,4 +1,4 @@
-/** Which of the fenced backend servers leads next. */
+/** Chooses the next primary among the fenced backend servers. */
 import {
   comparePositions,
   type AvailabilityZoneId,
@@ -9,42 +9,46 @@
 
 export interface Candidate {
   readonly server: ListedBackendServer
-  /** The end of its log, told with its promise to refuse lower terms. */
+  /** The end of its log, as reported together with its promise to refuse lower terms. */
   readonly position: LogPosition
 }
 
-export interface ChoiceWishes {
+export interface LeaderPreferences {
   /** The target of a planned move. */
   readonly target: BackendServerId | null
-  /** Where the last primary stood, and most of its callers with it. */
+  /** The last primary; most of its callers are in its zone. */
   readonly lastPrimary: ListedBackendServer | null
 }
 
 /**
- * The candidate with the greatest position. Every acknowledged write is held by a majority, so by
- * one of any majority of fenced servers, and the greatest position holds them all; no wish may
- * outweigh it. Wishes decide between equals.
+ * Returns the candidate with the greatest position. Every acknowledged write is held by a majority,
+ * hence by at least one server of any fenced majority, and the greatest position includes them all.
+ * Preferences decide only between equal positions.
  */
 export function chooseLeader(
   candidates: readonly Candidate[],
-  wishes: ChoiceWishes,
+  preferences: LeaderPreferences,
 ): Candidate | null {
   const [first, ...others] = candidates
   if (first === undefined) return null
   return others.reduce(
-    (best, other) => (compareCandidates(other, best, wishes) > 0 ? other : best),
+    (best, other) => (compareCandidates(other, best, preferences) > 0 ? other : best),
     first,
   )
 }
 
-function compareCandidates(left: Candidate, right: Candidate, wishes: ChoiceWishes): number {
+function compareCandidates(
+  left: Candidate,
+  right: Candidate,
+  preferences: LeaderPreferences,
+): number {
   const difference = comparePositions(left.position, right.position)
   if (difference !== 0) return difference
-  return wishedFor(left.server, wishes) - wishedFor(right.server, wishes)
+  return preferenceScore(left.server, preferences) - preferenceScore(right.server, preferences)
 }
 
-function wishedFor(server: ListedBackendServer, wishes: ChoiceWishes): number {
-  const { target, lastPrimary } = wishes
+function preferenceScore(server: ListedBackendServer, preferences: LeaderPreferences): number {
+  const { target, lastPrimary } = preferences
   const sameRegion = lastPrimary !== null && server.region === lastPrimary.region
   const sameZone = lastPrimary !== null && isInZone(server, lastPrimary.zone)
   const weights = [server.state === 'live', server.id === target, sameRegion, sameZone]
--- a/packages/coordination/src/failoverContext.ts
+++ b/packages/coordination/src/failoverContext.ts
@@ -1,13 +1,13 @@
-/** What the parts of one failover machine share. */
+/** The dependencies shared by the components of one failover state machine. */
 import type { AttemptId, DatabaseId, RandomSource } from '@nutmegcourse/shared'
 
 import type { FailoverAgreement } from './failoverAgreement.js'
 import type { FailoverGroup } from './failoverGroup.js'
-import type { FailoverJournal } from './failoverJournal.js'
+import type { FailoverEventLog } from './failoverEventLog.js'
 import type { Watcher } from './failoverMessages.js'
 import type { FailoverOptions } from './failoverOptions.js'
-import type { FailoverOutlet } from './failoverOutlet.js'
-import type { FailoverRecords } from './failoverRecords.js'
+import type { FailoverEffectQueue } from './failoverEffectQueue.js'
+import type { FailoverRecordTracker } from './failoverRecordTracker.js'
 
 export interface FailoverContext {
   readonly database: DatabaseId
@@ -15,9 +15,9 @@
   readonly options: FailoverOptions
   readonly random: RandomSource
   readonly makeAttemptId: () => AttemptId
-  readonly outlet: FailoverOutlet
+  readonly effects: FailoverEffectQueue
   readonly group: FailoverGroup
-  readonly records: FailoverRecords
+  readonly records: FailoverRecordTracker
   readonly agreement: FailoverAgreement
-  readonly journal: FailoverJournal
+  readonly eventLog: FailoverEventLog
 }
--- a/packages/coordination/src/failoverCore.ts
+++ b/packages/coordination/src/failoverCore.ts
@@ -1,8 +1,9 @@
 /**
- * Watches one database and changes its primary when that fails or has to leave.
+ * Watches one database and replaces its primary when the primary fails or is leaving.
  *
- * Deterministic: messages and time come in, effects go out. See docs/design/02-failover.md for the
- * ways weighed. Every answer may be lost, late or out of order.
+ * A deterministic state machine: it takes messages and the current time and returns effects. Any
+ * answer may be lost, late or out of order. The alternatives considered are described in
+ * docs/design/02-failover.md.
  */
 import {
   addMilliseconds,
@@ -17,18 +18,18 @@
 import type { GroupRecord, PositionReport } from '@nutmegcourse/protocol'
 
 import { FailoverAgreement, type OpinionSubject } from './failoverAgreement.js'
-import { FailoverChange } from './failoverChange.js'
+import { FailoverChangeController } from './failoverChangeController.js'
 import type { FailoverContext } from './failoverContext.js'
 import { FailoverFollowers } from './failoverFollowers.js'
 import { FailoverGroup } from './failoverGroup.js'
-import { FailoverJournal } from './failoverJournal.js'
+import { FailoverEventLog } from './failoverEventLog.js'
 import { FailoverLeaderSearch } from './failoverLeaderSearch.js'
 import type { FailoverEffect, FailoverEvent, FailoverMessage, Watcher } from './failoverMessages.js'
-import { FailoverMoves } from './failoverMoves.js'
+import { FailoverMoveController } from './failoverMoveController.js'
 import { DEFAULT_FAILOVER_OPTIONS, type FailoverOptions } from './failoverOptions.js'
-import { FailoverOutlet } from './failoverOutlet.js'
+import { FailoverEffectQueue } from './failoverEffectQueue.js'
 import type { KnownRecord } from './failoverRecord.js'
-import { FailoverRecords } from './failoverRecords.js'
+import { FailoverRecordTracker } from './failoverRecordTracker.js'
 import { FailoverSuspicion, SUSPICION_TEXTS, type Suspicion } from './failoverSuspicion.js'
 
 export interface FailoverSetup {
@@ -37,15 +38,15 @@
   readonly options?: Partial<FailoverOptions>
 }
 
-/** A step of this many watch intervals between two messages means that this process stood still. */
-const PAUSE_INTERVALS = 2
+/** More than this many watch intervals between two messages mean that this process stalled. */
+const STALL_INTERVALS = 2
 
 export class FailoverCore {
   readonly #context: FailoverContext
   readonly #suspicion: FailoverSuspicion
   readonly #followers: FailoverFollowers
-  readonly #change: FailoverChange
-  readonly #moves: FailoverMoves
+  readonly #changeController: FailoverChangeController
+  readonly #moveController: FailoverMoveController
   readonly #leaderSearch: FailoverLeaderSearch
   #lastHandledAt: Milliseconds | null = null
   #lastSuspicion: Suspicion | null = null
@@ -53,60 +54,60 @@
   constructor(setup: FailoverSetup, random: RandomSource, makeAttemptId: () => AttemptId) {
     const { database, self } = setup
     const options = { ...DEFAULT_FAILOVER_OPTIONS, ...setup.options }
-    const outlet = new FailoverOutlet(random)
+    const effects = new FailoverEffectQueue(random)
     this.#context = {
       database,
       self,
       options,
       random,
       makeAttemptId,
-      outlet,
-      group: new FailoverGroup(options, outlet),
-      records: new FailoverRecords(options, outlet, (record, now) => {
-        this.#noteNewRecord(record, now)
+      effects,
+      group: new FailoverGroup(options, effects),
+      records: new FailoverRecordTracker(options, effects, (record, now) => {
+        this.#recordChanged(record, now)
       }),
-      agreement: new FailoverAgreement(database, self, options, outlet),
-      journal: new FailoverJournal(database, outlet),
+      agreement: new FailoverAgreement(database, self, options, effects),
+      eventLog: new FailoverEventLog(database, effects),
     }
     this.#suspicion = new FailoverSuspicion(options, this.#context.group)
-    this.#followers = new FailoverFollowers(options, outlet)
-    this.#change = new FailoverChange(this.#context, (record, now) => {
+    this.#followers = new FailoverFollowers(options, effects)
+    this.#changeController = new FailoverChangeController(this.#context, (record, now) => {
       this.#complete(record, now)
     })
-    this.#moves = new FailoverMoves(this.#context, this.#change)
+    this.#moveController = new FailoverMoveController(this.#context, this.#changeController)
     this.#leaderSearch = new FailoverLeaderSearch(this.#context)
   }
 
-  /** The newest record that this watcher knows; proxies are routed by it. */
+  /** The newest record known to this watcher; proxies route by it. */
   get known(): KnownRecord | null {
     return this.#context.records.known
   }
 
-  /** The newest steps, oldest first. */
+  /** The most recent steps, oldest first. */
   events(): readonly FailoverEvent[] {
-    return this.#context.journal.events
+    return this.#context.eventLog.events
   }
 
   handle(message: FailoverMessage, now: Milliseconds): readonly FailoverEffect[] {
-    this.#noticePause(now)
+    this.#detectStall(now)
     this.#receive(message, now)
-    if (this.#context.agreement.watches) this.#advance(now)
-    else this.#change.yieldTo(null, now)
-    return this.#context.outlet.take()
+    if (this.#context.agreement.isWatcher) this.#advance(now)
+    else this.#changeController.yieldTo(null, now)
+    return this.#context.effects.takeAll()
   }
 
-  /** When to send a `tick` at the latest; null while this host does not watch the database. */
+  /** The latest time for the next `tick`; null while this host does not watch the database. */
   nextWake(now: Milliseconds): Milliseconds | null {
     const { agreement, group, options, records } = this.#context
-    if (!agreement.watches) return null
+    if (!agreement.isWatcher) return null
     const times = [
       group.nextWake(now),
       agreement.nextWake(),
       records.nextWake(),
-      this.#change.nextWake(now),
-      this.#moves.nextWake(),
+      this.#changeController.nextWake(now),
+      this.#moveController.nextWake(),
     ].flatMap(time => (time !== null && time > now ? [time] : []))
-    // A longer silence of the shell would count as a pause of this process.
+    // A longer time without a message would be taken for a stall of this process.
     const latest = addMilliseconds(now, options.watchIntervalMilliseconds)
     return milliseconds(Math.min(latest, ...times))
   }
@@ -116,7 +117,7 @@
     switch (message.kind) {
       case 'record': {
         const { record, revision } = message
-        records.hear({ record, revision }, agreement.rank, now)
+        records.receive({ record, revision }, agreement.rank, now)
         return
       }
       case 'backendServers':
@@ -126,7 +127,7 @@
         agreement.setWatchers(message.watchers)
         return
       case 'opinion':
-        agreement.hear(message.opinion, now)
+        agreement.receive(message.opinion, now)
         return
       case 'positionAnswered':
         this.#notePosition(message.server, message.report, message.askedAt, now)
@@ -136,11 +137,11 @@
         return
       case 'controlAnswered':
         this.#followers.answered(message.call)
-        this.#change.answered(message.call, message.report, now)
+        this.#changeController.answered(message.call, message.report, now)
         return
       case 'controlFailed':
         this.#followers.failed(message.call, now)
-        this.#change.failed(message.call, message.failure, now)
+        this.#changeController.failed(message.call, message.failure, now)
         return
       case 'storeAnswered': {
         const { call, outcome } = message
@@ -155,34 +156,34 @@
   }
 
   #advance(now: Milliseconds): void {
-    this.#formOpinion(now)
-    this.#change.advance(now)
-    if (!this.#change.isUnderWay) this.#adoptFoundLeader(now)
-    this.#moves.advance(now)
+    this.#updateOpinion(now)
+    this.#changeController.advance(now)
+    if (!this.#changeController.isInProgress) this.#adoptFoundLeader(now)
+    this.#moveController.advance(now)
     this.#context.records.advance(now)
-    this.#context.group.advance(this.#change.isUnderWay, now)
+    this.#context.group.advance(this.#changeController.isInProgress, now)
   }
 
   /**
-   * A watcher that stood still finds every question unanswered when it wakes. Taking that for the
-   * servers' silence would replace a healthy primary, so the count starts anew.
+   * After a stall of this process every position request looks unanswered. Treating that as
+   * unresponsive servers would replace a healthy primary, so the silence timers start again.
    */
-  #noticePause(now: Milliseconds): void {
+  #detectStall(now: Milliseconds): void {
     const last = this.#lastHandledAt
     this.#lastHandledAt = now
-    const longest = this.#context.options.watchIntervalMilliseconds * PAUSE_INTERVALS
-    if (last !== null && now - last > longest) this.#context.group.forgiveSilence(now)
+    const longest = this.#context.options.watchIntervalMilliseconds * STALL_INTERVALS
+    if (last !== null && now - last > longest) this.#context.group.resetSilence(now)
   }
 
-  #noteNewRecord(record: GroupRecord, now: Milliseconds): void {
+  #recordChanged(record: GroupRecord, now: Milliseconds): void {
     const { phase, primary, term } = record
     const leads = phase.kind === 'stable' || phase.kind === 'moving'
     this.#suspicion.reset()
-    this.#change.yieldTo(record, now)
+    this.#changeController.yieldTo(record, now)
     this.#followers.setLeadership(leads && primary !== null ? { primary, term } : null)
     this.#context.group.setPrimary(primary)
-    if (leads) this.#change.settled()
-    this.#moves.learned(record, now)
+    if (leads) this.#changeController.resetRetries()
+    this.#moveController.recordChanged(record, now)
   }
 
   #notePosition(
@@ -194,28 +195,29 @@
     const { group, records } = this.#context
     const watch = group.watch(server)
     if (watch === null) return
-    if (watch.wasGone) this.#followers.restarted(server, now)
+    if (watch.wasProcessGone) this.#followers.restarted(server, now)
     group.notePosition(server, report, askedAt, now)
-    this.#change.observed(server, report, now)
+    this.#changeController.observed(server, report, now)
     const leader = group.report(records.record?.primary ?? null)
-    this.#followers.observe(server, report, leader, this.#careRank(), now)
+    this.#followers.observe(server, report, leader, this.#followRank(), now)
   }
 
-  /** The one who made the change looks after it; the others follow in rank. */
-  #careRank(): number {
+  /** The coordinator of the last change acts first on the followers, the others in order of rank. */
+  #followRank(): number {
     const { agreement, records, self } = this.#context
     return records.record?.coordinator === self.entryHost ? 0 : agreement.rank + 1
   }
 
-  #formOpinion(now: Milliseconds): void {
-    const { agreement, journal, records } = this.#context
+  #updateOpinion(now: Milliseconds): void {
+    const { agreement, eventLog, records } = this.#context
     const subject = this.#subject()
-    const learnedAt = records.learnedAt ?? now
-    const suspicion = subject === null ? null : this.#suspicion.judge(subject, learnedAt, now)
-    agreement.form(subject, suspicion !== null, now)
+    const recordChangedAt = records.changedAt ?? now
+    const suspicion =
+      subject === null ? null : this.#suspicion.evaluate(subject, recordChangedAt, now)
+    agreement.setOwnOpinion(subject, suspicion !== null, now)
     if (subject !== null && suspicion !== null && this.#lastSuspicion === null) {
       const detail = `${subject.server} ${SUSPICION_TEXTS[suspicion]}`
-      journal.note('suspected', subject.term, detail, now)
+      eventLog.append('suspected', subject.term, detail, now)
     }
     this.#lastSuspicion = suspicion
   }
@@ -233,12 +235,12 @@
   }
 
   #complete(record: GroupRecord, now: Milliseconds): void {
-    const { agreement, group, journal, records } = this.#context
-    records.adopt(record, agreement.rank, now)
-    this.#followers.tellAll(
+    const { agreement, group, eventLog, records } = this.#context
+    records.publish(record, agreement.rank, now)
+    this.#followers.followAll(
       group.servers.map(server => server.id),
       now,
     )
-    journal.note('completed', record.term, `${record.primary ?? 'nobody'} leads`, now)
+    eventLog.append('completed', record.term, `${record.primary ?? 'no server'} leads`, now)
   }
 }
--- /dev/null
+++ b/packages/coordination/src/failoverEventLog.ts
@@ -0,0 +1,30 @@
+/** Keeps the steps of a database's changes of primary for `nutmegcoursectl explain` and the log. */
+import type { DatabaseId, Milliseconds, Term } from '@nutmegcourse/shared'
+
+import type { FailoverEvent } from './failoverMessages.js'
+import type { FailoverEffectQueue } from './failoverEffectQueue.js'
+
+const MAX_EVENTS = 200
+
+export class FailoverEventLog {
+  readonly #database: DatabaseId
+  readonly #effects: FailoverEffectQueue
+  readonly #events: FailoverEvent[] = []
+
+  constructor(database: DatabaseId, effects: FailoverEffectQueue) {
+    this.#database = database
+    this.#effects = effects
+  }
+
+  /** The most recent steps, oldest first. */
+  get events(): readonly FailoverEvent[] {
+    return this.#events
+  }
+
+  append(step: FailoverEvent['step'], term: Term, detail: string, now: Milliseconds): void {
+    const event = { at: now, database: this.#database, step, term, detail }
+    this.#events.push(event)
+    if (this.#events.length > MAX_EVENTS) this.#events.shift()
+    this.#effects.emit({ kind: 'event', event })
+  }
+}
--- a/packages/coordination/src/failoverFollowers.ts
+++ b/packages/coordination/src/failoverFollowers.ts
@@ -1,4 +1,4 @@
-/** Makes the other backend servers follow the primary, also those that come back later. */
+/** Makes the other backend servers replicate from the primary, including those that return later. */
 import {
   addMilliseconds,
   comparePositions,
@@ -11,8 +11,8 @@
 import type { PositionReport } from '@nutmegcourse/protocol'
 
 import type { CallId } from './failoverMessages.js'
-import { backOff, type FailoverOptions } from './failoverOptions.js'
-import type { FailoverOutlet } from './failoverOutlet.js'
+import { backOffMilliseconds, type FailoverOptions } from './failoverOptions.js'
+import type { FailoverEffectQueue } from './failoverEffectQueue.js'
 
 export interface Leadership {
   readonly primary: BackendServerId
@@ -21,32 +21,32 @@
 
 interface Follower {
   /** A follow was sent and not yet answered; it is repeated until it is. */
-  isOwed: boolean
-  /** Its process ended and another answers, which replicates from nobody until it is told. */
+  isFollowPending: boolean
+  /** Its process was restarted; the new one does not replicate until it receives a `follow` call. */
   hasRestarted: boolean
   position: LogPosition | null
-  /** When its position was last seen to change. */
-  movedAt: Milliseconds
-  /** Since when it needs to be told; null while it does not. */
-  neededSince: Milliseconds | null
-  tries: number
+  /** When its position last changed. */
+  advancedAt: Milliseconds
+  /** Since when it has needed a `follow` call; null while it needs none. */
+  followNeededSince: Milliseconds | null
+  attempts: number
   notBefore: Milliseconds
 }
 
-const GREATEST_RETRY_FACTOR = 16
-/** Between the tries of two watchers that follow each other in rank. */
-const RANK_MILLISECONDS = 100
+const MAX_RETRY_FACTOR = 16
+/** Added to a watcher's delay for each watcher that ranks before it. */
+const RANK_DELAY_MILLISECONDS = 100
 
 export class FailoverFollowers {
   readonly #options: FailoverOptions
-  readonly #outlet: FailoverOutlet
+  readonly #effects: FailoverEffectQueue
   readonly #calls = new Map<CallId, BackendServerId>()
   readonly #followers = new Map<BackendServerId, Follower>()
   #leadership: Leadership | null = null
 
-  constructor(options: FailoverOptions, outlet: FailoverOutlet) {
+  constructor(options: FailoverOptions, effects: FailoverEffectQueue) {
     this.#options = options
-    this.#outlet = outlet
+    this.#effects = effects
   }
 
   setLeadership(leadership: Leadership | null): void {
@@ -59,16 +59,16 @@
     this.#calls.clear()
   }
 
-  /** Tells every other server to follow at once; the one who promoted does. */
-  tellAll(servers: readonly BackendServerId[], now: Milliseconds): void {
+  /** Sends `follow` to every other server at once; used by the watcher that recorded the leader. */
+  followAll(servers: readonly BackendServerId[], now: Milliseconds): void {
     for (const server of servers) {
-      if (server !== this.#leadership?.primary) this.#tell(server, now)
+      if (server !== this.#leadership?.primary) this.#sendFollow(server, now)
     }
   }
 
   /**
-   * Looks at one watched server. `primary` is what the leader last reported; `rank` is how many
-   * watchers are to look after the matter before this one.
+   * Checks a server's report and sends `follow` if needed. `primary` is the leader's last report;
+   * `rank` is the number of watchers that should act before this one.
    */
   observe(
     server: BackendServerId,
@@ -80,22 +80,22 @@
     if (this.#leadership === null || server === this.#leadership.primary) return
     const follower = this.#followerOf(server, now)
     this.#noteProgress(follower, report, now)
-    if (!this.#needsTelling(follower, report, primary, now)) {
-      follower.neededSince = null
+    if (!this.#needsFollow(follower, report, primary, now)) {
+      follower.followNeededSince = null
       return
     }
-    follower.neededSince ??= now
-    const patience = rank * RANK_MILLISECONDS
-    if (now - follower.neededSince < patience || now < follower.notBefore) return
-    this.#tell(server, now)
+    follower.followNeededSince ??= now
+    const rankDelay = rank * RANK_DELAY_MILLISECONDS
+    if (now - follower.followNeededSince < rankDelay || now < follower.notBefore) return
+    this.#sendFollow(server, now)
   }
 
-  /** A server that refused connections answers again. */
+  /** Called when a server that refused connections answers again. */
   restarted(server: BackendServerId, now: Milliseconds): void {
     if (this.#leadership === null || server === this.#leadership.primary) return
     const follower = this.#followerOf(server, now)
     follower.hasRestarted = true
-    // Its next report is what it begins with, no progress, though it may be past the last one seen.
+    // Its next report is where it starts and no progress, even if it is past the last one seen.
     follower.position = null
     follower.notBefore = now
   }
@@ -104,17 +104,17 @@
     const server = this.#calls.get(call)
     this.#calls.delete(call)
     const follower = server === undefined ? undefined : this.#followers.get(server)
-    if (follower !== undefined) follower.isOwed = false
+    if (follower !== undefined) follower.isFollowPending = false
   }
 
-  /** A failed follow is repeated soon, once the server answers questions. */
+  /** A failed `follow` is repeated after a short delay, once the server answers position requests. */
   failed(call: CallId, now: Milliseconds): void {
     const server = this.#calls.get(call)
     this.#calls.delete(call)
     const follower = server === undefined ? undefined : this.#followers.get(server)
     if (follower === undefined) return
     const first = this.#options.callRetryMilliseconds
-    const wait = backOff(first, follower.tries, GREATEST_RETRY_FACTOR)
+    const wait = backOffMilliseconds(first, follower.attempts, MAX_RETRY_FACTOR)
     follower.notBefore = addMilliseconds(now, wait)
   }
 
@@ -122,12 +122,12 @@
     const known = this.#followers.get(server)
     if (known !== undefined) return known
     const follower: Follower = {
-      isOwed: false,
+      isFollowPending: false,
       hasRestarted: false,
       position: null,
-      movedAt: now,
-      neededSince: null,
-      tries: 0,
+      advancedAt: now,
+      followNeededSince: null,
+      attempts: 0,
       notBefore: milliseconds(0),
     }
     this.#followers.set(server, follower)
@@ -139,46 +139,50 @@
     if (last !== null && comparePositions(report.position, last) === 0) return
     if (last !== null) follower.hasRestarted = false
     follower.position = report.position
-    follower.movedAt = now
-    if (!follower.isOwed) follower.tries = 0
+    follower.advancedAt = now
+    if (!follower.isFollowPending) follower.attempts = 0
   }
 
   /**
-   * A replica without a source looks like one that lags: both stand still. Following again cures
-   * the first and does not harm the second, so a standstill is the sign for both; the growing
-   * wait keeps a replica that is only slow from being disturbed.
+   * A replica without a source cannot be told from one that lags: the position of neither advances.
+   * Another `follow` repairs the first and does not harm the second, so it is sent to both when they
+   * make no progress. The back-off keeps a replica that is only slow from being disturbed.
    */
-  #needsTelling(
+  #needsFollow(
     follower: Follower,
     report: PositionReport,
     primary: PositionReport | null,
     now: Milliseconds,
   ): boolean {
     const term = this.#leadership?.term ?? report.fencedTerm
-    // It promised a newer term than this one; only a newer leader may have it.
+    // It has promised a newer term than this one; only a leader of that term may take it.
     if (report.fencedTerm > term) return false
-    if (follower.isOwed || follower.hasRestarted) return true
+    if (follower.isFollowPending || follower.hasRestarted) return true
     if (report.role === 'primary' || report.fencedTerm < term) return true
     if (primary === null || comparePositions(report.position, primary.position) >= 0) return false
     const { stalledReplicaMilliseconds, stuckChangeMilliseconds } = this.#options
-    // Without a record of the term it may never have been told, as its coordinator was lost.
+    // A log without a record of this term suggests that `follow` was never sent: its coordinator
+    // may have been lost before.
     const hasEntered = report.position.term === term
     const bound = hasEntered ? stalledReplicaMilliseconds : stuckChangeMilliseconds
-    return now - follower.movedAt >= bound
+    return now - follower.advancedAt >= bound
   }
 
-  #tell(server: BackendServerId, now: Milliseconds): void {
+  #sendFollow(server: BackendServerId, now: Milliseconds): void {
     if (this.#leadership === null) return
     const follower = this.#followerOf(server, now)
     const first = this.#options.stalledReplicaMilliseconds
-    follower.isOwed = true
+    follower.isFollowPending = true
     follower.hasRestarted = false
-    follower.tries += 1
-    follower.notBefore = addMilliseconds(now, backOff(first, follower.tries, GREATEST_RETRY_FACTOR))
-    const call = this.#outlet.newCall()
+    follower.attempts += 1
+    follower.notBefore = addMilliseconds(
+      now,
+      backOffMilliseconds(first, follower.attempts, MAX_RETRY_FACTOR),
+    )
+    const call = this.#effects.nextCallId()
     this.#calls.set(call, server)
     const { term, primary } = this.#leadership
     const timeoutMilliseconds = this.#options.callTimeoutMilliseconds
-    this.#outlet.emit({ kind: 'follow', call, server, term, primary, timeoutMilliseconds })
+    this.#effects.emit({ kind: 'follow', call, server, term, primary, timeoutMilliseconds })
   }
 }
--- a/packages/coordination/src/failoverGroup.ts
+++ b/packages/coordination/src/failoverGroup.ts
@@ -11,7 +11,7 @@
 import type { ListedBackendServer, PositionReport } from '@nutmegcourse/protocol'
 
 import type { FailoverOptions } from './failoverOptions.js'
-import type { FailoverOutlet } from './failoverOutlet.js'
+import type { FailoverEffectQueue } from './failoverEffectQueue.js'
 import { FailoverServerWatch, type DatedReport } from './failoverServerWatch.js'
 import { laterTerm } from './failoverTerm.js'
 
@@ -20,31 +20,31 @@
   readonly term: Term
 }
 
-/** How much of a primary's past is kept to tell how old a replica's data is. */
-const SAMPLES_KEPT = 256
+/** The number of the primary's reports kept to determine how far a replica is behind. */
+const MAX_SAMPLES = 256
 
 export class FailoverGroup {
   readonly #options: FailoverOptions
-  readonly #outlet: FailoverOutlet
+  readonly #effects: FailoverEffectQueue
   readonly #watches = new Map<BackendServerId, FailoverServerWatch>()
   #servers: readonly ListedBackendServer[] = []
   #largestSize = 0
   #listedAt: Milliseconds | null = null
   #primary: BackendServerId | null = null
-  /** Questions to all but the primary are held back. */
-  #isHeld = false
+  /** Whether position requests to all servers but the primary are withheld. */
+  #pollsPrimaryOnly = false
   #primarySamples: readonly DatedReport[] = []
 
-  constructor(options: FailoverOptions, outlet: FailoverOutlet) {
+  constructor(options: FailoverOptions, effects: FailoverEffectQueue) {
     this.#options = options
-    this.#outlet = outlet
+    this.#effects = effects
   }
 
   get servers(): readonly ListedBackendServer[] {
     return this.#servers
   }
 
-  /** When the first list came; null before. */
+  /** When the first list was received; null before. */
   get listedAt(): Milliseconds | null {
     return this.#listedAt
   }
@@ -62,8 +62,8 @@
   }
 
   /**
-   * How many servers are a majority. A host list that lost lines must not shrink it: two hosts with
-   * two such lists could promote two servers. So the longest list ever seen counts.
+   * The number of servers that form a majority, computed from the longest list ever received. If a
+   * host list that lost lines reduced it, two hosts with two such lists could promote two servers.
    */
   get majority(): number {
     return majorityOf(this.#largestSize)
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Whose positions replicas are measured by. */
+  /** Sets the server to whose positions those of the replicas are compared. */
   setPrimary(primary: BackendServerId | null): void {
     if (primary === this.#primary) return
     this.#primary = primary
@@ -97,25 +97,25 @@
   ): void {
     this.#watches.get(server)?.answered(report, askedAt, now)
     if (server !== this.#primary) return
-    this.#primarySamples = [...this.#primarySamples, { report, askedAt }].slice(-SAMPLES_KEPT)
+    this.#primarySamples = [...this.#primarySamples, { report, askedAt }].slice(-MAX_SAMPLES)
   }
 
   /**
-   * Asks who is due. A connection carries one question at a time, and a fence would wait behind a
-   * question for a whole round trip between regions; so while a change runs or is likely, only the
-   * primary is asked.
+   * Sends the position requests that are due. A connection carries one request at a time, so a fence
+   * would wait behind a position request for a whole round trip between regions. While a change is
+   * in progress or likely, only the primary is polled.
    */
   advance(isChanging: boolean, now: Milliseconds): void {
     const primary = this.#primary === null ? null : this.watch(this.#primary)
-    this.#isHeld = isChanging || primary?.isInTrouble(now) === true
-    for (const watch of this.#asked()) watch.advance(now, this.#outlet)
+    this.#pollsPrimaryOnly = isChanging || primary?.isSuspicionLikely(now) === true
+    for (const watch of this.#polledWatches()) watch.advance(now, this.#effects)
   }
 
-  forgiveSilence(now: Milliseconds): void {
-    for (const watch of this.#watches.values()) watch.forgiveSilence(now)
+  resetSilence(now: Milliseconds): void {
+    for (const watch of this.#watches.values()) watch.resetSilence(now)
   }
 
-  /** The primary's reports to questions asked at `since` or later. */
+  /** The primary's reports on requests sent at `since` or later. */
   primarySamplesSince(since: Milliseconds): readonly DatedReport[] {
     return this.#primarySamples.filter(sample => sample.askedAt >= since)
   }
@@ -131,7 +131,7 @@
     return terms.reduce(laterTerm, ORIGIN.term)
   }
 
-  /** Since when a server has been fenced above a term, by the first to be so; null when none is. */
+  /** Since when at least one server has been fenced above `term`; null when none is. */
   fencedAboveSince(term: Term): Milliseconds | null {
     const times = [...this.#watches.values()].flatMap(watch => {
       const isAbove = (watch.latest?.report.fencedTerm ?? term) > term
@@ -140,7 +140,7 @@
     return times.length === 0 ? null : milliseconds(Math.min(...times))
   }
 
-  /** The server that reports to lead the newest term, unless it is fenced above that. */
+  /** The server that leads the newest term by its own report, unless it is fenced above that term. */
   findLeader(now: Milliseconds): FoundLeader | null {
     let found: FoundLeader | null = null
     for (const [server, watch] of this.#watches) {
@@ -153,8 +153,9 @@
   }
 
   /**
-   * The server to move a leaving primary's role to: one that stays, and whose log held within
-   * `moveLagMilliseconds` what the primary's did, or writes would wait long for it to catch up.
+   * The server to which to move the role of a leaving primary, preferably in its zone, else in its
+   * region. It must not be leaving itself and must hold what the primary held at most
+   * `moveLagMilliseconds` ago; otherwise writes would wait too long for it to catch up.
    */
   findMoveTarget(primary: ListedBackendServer, now: Milliseconds): BackendServerId | null {
     const able = this.#servers.filter(
@@ -170,13 +171,15 @@
   }
 
   nextWake(now: Milliseconds): Milliseconds | null {
-    const times = this.#asked().map(watch => watch.nextWake(now))
+    const times = this.#polledWatches().map(watch => watch.nextWake(now))
     return times.length === 0 ? null : milliseconds(Math.min(...times))
   }
 
-  #asked(): readonly FailoverServerWatch[] {
-    const asked = [...this.#watches].filter(([id]) => !this.#isHeld || id === this.#primary)
-    return asked.map(([, watch]) => watch)
+  #polledWatches(): readonly FailoverServerWatch[] {
+    const polled = [...this.#watches].filter(
+      ([id]) => !this.#pollsPrimaryOnly || id === this.#primary,
+    )
+    return polled.map(([, watch]) => watch)
   }
 
   #isCloseBehind(server: BackendServerId, now: Milliseconds): boolean {
--- a/packages/coordination/src/failoverLeaderSearch.ts
+++ b/packages/coordination/src/failoverLeaderSearch.ts
@@ -1,8 +1,8 @@
 /**
- * Finds a primary that leads a newer term than recorded, and finishes its record.
+ * Finds a primary that leads without a record of it, and completes its record.
  *
- * A coordinator may be lost after its promotion took effect and before anyone was told. The leader
- * itself tells of it, and as a term has one leader, its word is enough.
+ * A coordinator may be lost after its promotion took effect and before it was announced. The leader
+ * then reports its term itself; since a term has only one leader, its report is sufficient.
  */
 import type { BackendServerId, Milliseconds, Term } from '@nutmegcourse/shared'
 import type { GroupRecord } from '@nutmegcourse/protocol'
@@ -10,52 +10,52 @@
 import type { FailoverContext } from './failoverContext.js'
 import { withLeader } from './failoverRecord.js'
 
-/** Between the tries of two watchers that follow each other in rank. */
-const RANK_MILLISECONDS = 200
+/** Added to a watcher's delay for each watcher that ranks before it. */
+const RANK_DELAY_MILLISECONDS = 200
 
 export class FailoverLeaderSearch {
   readonly #context: FailoverContext
-  #strayTerm: Term | null = null
-  #straySince: Milliseconds | null = null
+  #unrecordedTerm: Term | null = null
+  #unrecordedSince: Milliseconds | null = null
 
   constructor(context: FailoverContext) {
     this.#context = context
   }
 
-  /** A record for a leader that stood unrecorded for long enough; null otherwise. */
+  /** Returns a record for a leader that has been unrecorded for the adoption delay, or else null. */
   advance(now: Milliseconds): GroupRecord | null {
-    const { group, journal, records } = this.#context
+    const { group, eventLog, records } = this.#context
     const leader = group.findLeader(now)
     if (leader === null || !this.#isUnrecorded(leader.term)) {
-      this.#straySince = null
+      this.#unrecordedSince = null
       return null
     }
-    if (leader.term !== this.#strayTerm) this.#straySince = null
-    this.#strayTerm = leader.term
-    this.#straySince ??= now
-    if (now - this.#straySince < this.#patience(leader.term)) return null
-    this.#straySince = null
-    journal.note('promoted', leader.term, `${leader.server} was found to lead`, now)
-    return this.#describe(leader.server, leader.term, records.record)
+    if (leader.term !== this.#unrecordedTerm) this.#unrecordedSince = null
+    this.#unrecordedTerm = leader.term
+    this.#unrecordedSince ??= now
+    if (now - this.#unrecordedSince < this.#adoptionDelay(leader.term)) return null
+    this.#unrecordedSince = null
+    eventLog.append('promoted', leader.term, `${leader.server} was found as leader`, now)
+    return this.#createRecord(leader.server, leader.term, records.record)
   }
 
   #isUnrecorded(leading: Term): boolean {
-    const { isStoreEmpty, record, storeAnswers } = this.#context.records
-    // Until the store has told, a record may stand; a store that fails leaves the servers' word.
+    const { isStoreEmpty, record, isStoreResponding: storeAnswers } = this.#context.records
+    // Until the store answers, it may hold a record; if it fails, the servers' reports decide.
     if (record === null) return isStoreEmpty || !storeAnswers
     if (leading !== record.term) return leading > record.term
     return record.phase.kind === 'fencing' || record.phase.kind === 'promoting'
   }
 
-  #patience(leading: Term): number {
+  #adoptionDelay(leading: Term): number {
     const { agreement, options, records } = this.#context
-    const rank = agreement.rank * RANK_MILLISECONDS
+    const rank = agreement.rank * RANK_DELAY_MILLISECONDS
     if (records.record === null) return rank
     if (leading === records.record.term) return options.watchIntervalMilliseconds + rank
     return options.adoptionMilliseconds + rank
   }
 
-  #describe(server: BackendServerId, term: Term, known: GroupRecord | null): GroupRecord {
+  #createRecord(server: BackendServerId, term: Term, known: GroupRecord | null): GroupRecord {
     const { database, makeAttemptId, self } = this.#context
     if (known?.term === term) return withLeader(known, server)
     return {
--- a/packages/coordination/src/failoverMessages.ts
+++ b/packages/coordination/src/failoverMessages.ts
@@ -1,6 +1,6 @@
 /**
  * The interface of the failover machine, one per watched database: messages in, effects out.
- * The agent carries out each effect and reports what came of it; every answer may be lost or late.
+ * The agent executes each effect and reports its result; any answer may be lost or late.
  */
 import type {
   AvailabilityZoneId,
@@ -14,7 +14,7 @@
 } from '@nutmegcourse/shared'
 import type { GroupRecord, ListedBackendServer, PositionReport } from '@nutmegcourse/protocol'
 
-/** Ties an answer to the effect that asked for it; an answer to an earlier attempt is ignored. */
+/** Matches an answer to the effect that requested it; answers to earlier attempts are ignored. */
 export type CallId = Brand<number, 'CallId'>
 
 export const callId = (value: number): CallId => value as CallId
@@ -25,7 +25,7 @@
   readonly region: RegionId
 }
 
-/** How one watcher finds the primary; the newest from each watcher counts. */
+/** Whether one watcher suspects the primary; the newest opinion of each watcher counts. */
 export interface WatcherOpinion {
   readonly database: DatabaseId
   readonly watcher: EntryHostId
@@ -40,9 +40,9 @@
 }
 
 export type ControlFailure =
-  /** Nothing listens; nothing ran. */
+  /** The server refused the connection; the call did not run. */
   | 'refused'
-  /** No answer; it may have run. */
+  /** No answer, or the connection broke; the call may have run. */
   | 'timeout'
   | 'lost'
   /** The server is fenced at a newer term. */
@@ -56,9 +56,9 @@
   | { readonly kind: 'failed' }
 
 export type FailoverMessage =
-  /** A record learned from the store or another agent; an older revision than known is ignored. */
+  /** A record received from the store or another agent; ignored unless newer than the known one. */
   | { readonly kind: 'record'; readonly record: GroupRecord; readonly revision: number }
-  /** The group's servers by the host list, with operators' drains applied as `leaving`. */
+  /** The group's servers in the host list; servers drained by operators have state `leaving`. */
   | { readonly kind: 'backendServers'; readonly servers: readonly ListedBackendServer[] }
   /** The watchers of this database, in the order in which they try to coordinate. */
   | { readonly kind: 'watchers'; readonly watchers: readonly Watcher[] }
@@ -118,9 +118,9 @@
     }
   /** Sends the opinion to the other watchers at once. */
   | { readonly kind: 'tellWatchers'; readonly opinion: WatcherOpinion }
-  /** Spreads a record to proxies and agents at once. */
+  /** Sends a record to proxies and agents at once. */
   | { readonly kind: 'announce'; readonly record: GroupRecord; readonly revision: number }
-  /** One step of the story that `nutmegcoursectl explain` tells; also logged. */
+  /** A step of a change of primary, shown by `nutmegcoursectl explain` and written to the log. */
   | { readonly kind: 'event'; readonly event: FailoverEvent }
 
 export interface FailoverEvent {
--- a/packages/coordination/src/failoverMove.ts
+++ b/packages/coordination/src/failoverMove.ts
@@ -1,9 +1,9 @@
 /**
- * A planned move of the primary's role, up to the point where the old primary is fenced.
+ * A planned move of the primary role, up to the point at which the old primary is fenced.
  *
- * The store takes the phase `moving` first. Proxies that hear of it hold new writes, those under
- * way finish, the target catches up; only then a change of primary starts. So no write is cut off
- * and the target is among the greatest positions.
+ * The phase `moving` is written to the store first. Proxies that receive it hold new writes, writes
+ * in flight finish and the target catches up; only then does the change of primary start. No write
+ * is interrupted, and no other server is ahead of the target.
  */
 import {
   isAtOrPast,
@@ -23,21 +23,21 @@
   readonly record: GroupRecord
 }
 
-export type MoveVerdict =
+export type MoveStatus =
   | { readonly kind: 'wait' }
-  /** Writes rest and the target holds them all. */
+  /** The primary's log no longer grows and the target holds all of it. */
   | { readonly kind: 'ready' }
-  | { readonly kind: 'giveUp'; readonly detail: string }
+  | { readonly kind: 'abandoned'; readonly detail: string }
 
-/** Two looks at the resting log are this far apart at least. */
-const REST_MILLISECONDS = 5
+/** The log counts as idle when two position reports at least this far apart are equal. */
+const IDLE_MILLISECONDS = 5
 
 export class FailoverMove {
   readonly plan: MovePlan
   readonly #options: FailoverOptions
   readonly #group: FailoverGroup
   readonly #startedAt: Milliseconds
-  /** When proxies were told to hold writes; null until the store has the phase. */
+  /** When the phase `moving` was announced to the proxies; null until the store holds it. */
   #announcedAt: Milliseconds | null = null
 
   constructor(plan: MovePlan, options: FailoverOptions, group: FailoverGroup, now: Milliseconds) {
@@ -55,29 +55,30 @@
     this.#announcedAt ??= now
   }
 
-  advance(now: Milliseconds): MoveVerdict {
+  advance(now: Milliseconds): MoveStatus {
     if (this.#group.watch(this.plan.target)?.isReachable(now) !== true) {
-      return { kind: 'giveUp', detail: `${this.plan.target} does not answer` }
+      return { kind: 'abandoned', detail: `${this.plan.target} does not answer` }
     }
-    if (now >= this.#endsAt()) {
+    if (now >= this.#deadline()) {
       const detail = this.isAnnounced
         ? `${this.plan.target} did not catch up in time`
-        : 'the store did not take the move in time'
-      return { kind: 'giveUp', detail }
+        : 'the store did not accept the move in time'
+      return { kind: 'abandoned', detail }
     }
     if (this.#announcedAt === null) return { kind: 'wait' }
-    this.#hurry(now)
+    this.#pollSoon(now)
     return this.#hasCaughtUp(this.#announcedAt) ? { kind: 'ready' } : { kind: 'wait' }
   }
 
   nextWake(): Milliseconds {
-    return this.#endsAt()
+    return this.#deadline()
   }
 
   /**
-   * The primary's log did not move between two questions, the later asked when every proxy should
-   * have heard, and the target reached it. A proxy that heard nothing may still write: its write
-   * is then beyond the target, and the choice among the fenced decides.
+   * Whether the primary's log stayed the same between two position requests, the later one sent
+   * when every proxy should have received the announcement, and the target has reached that
+   * position. A proxy that did not receive it may still write past the target's position; the
+   * choice among the fenced servers then decides by position.
    */
   #hasCaughtUp(announcedAt: Milliseconds): boolean {
     const samples = this.#group.primarySamplesSince(announcedAt)
@@ -85,19 +86,19 @@
     const target = this.#group.report(this.plan.target)
     if (last === undefined || target === null) return false
     if (last.askedAt - announcedAt < this.#options.moveQuietMilliseconds) return false
-    const resting = samples.findLast(sample => last.askedAt - sample.askedAt >= REST_MILLISECONDS)
-    if (resting === undefined) return false
-    const rests = isAtOrPast(resting.report.position, last.report.position)
-    const sameTerm = target.position.term === last.report.position.term
-    return rests && sameTerm && isAtOrPast(target.position, last.report.position)
+    const earlier = samples.findLast(sample => last.askedAt - sample.askedAt >= IDLE_MILLISECONDS)
+    if (earlier === undefined) return false
+    const isIdle = isAtOrPast(earlier.report.position, last.report.position)
+    const isSameTerm = target.position.term === last.report.position.term
+    return isIdle && isSameTerm && isAtOrPast(target.position, last.report.position)
   }
 
-  #hurry(now: Milliseconds): void {
-    this.#group.watch(this.plan.primary)?.hurry(now)
-    this.#group.watch(this.plan.target)?.hurry(now)
+  #pollSoon(now: Milliseconds): void {
+    this.#group.watch(this.plan.primary)?.pollSoon(now)
+    this.#group.watch(this.plan.target)?.pollSoon(now)
   }
 
-  #endsAt(): Milliseconds {
+  #deadline(): Milliseconds {
     const start = this.#announcedAt ?? this.#startedAt
     const bound = this.isAnnounced
       ? this.#options.moveCatchUpMilliseconds
--- /dev/null
+++ b/packages/coordination/src/failoverMoveController.ts
@@ -0,0 +1,152 @@
+/** Starts planned moves of the primary role and drives each one until it is done or abandoned. */
+import { addMilliseconds, assertNever, milliseconds, type Milliseconds } from '@nutmegcourse/shared'
+import type { GroupRecord } from '@nutmegcourse/protocol'
+
+import type { FailoverChangeController } from './failoverChangeController.js'
+import type { FailoverContext } from './failoverContext.js'
+import { FailoverMove, type MovePlan } from './failoverMove.js'
+import { backOffMilliseconds } from './failoverOptions.js'
+
+const MAX_RETRY_FACTOR = 16
+/** Added to a watcher's delay for each watcher that ranks before it. */
+const RANK_DELAY_MILLISECONDS = 500
+
+export class FailoverMoveController {
+  readonly #context: FailoverContext
+  readonly #changeController: FailoverChangeController
+  #move: FailoverMove | null = null
+  #possibleSince: Milliseconds | null = null
+  #failures = 0
+  #retryAt: Milliseconds = milliseconds(0)
+  /** By when the store must hold the phase `stable` again after an abandoned move. */
+  #rollbackDeadline: Milliseconds | null = null
+
+  constructor(context: FailoverContext, change: FailoverChangeController) {
+    this.#context = context
+    this.#changeController = change
+  }
+
+  /** Called when the term or phase of the known record has changed. */
+  recordChanged(record: GroupRecord, now: Milliseconds): void {
+    const move = this.#move
+    if (record.phase.kind !== 'moving') this.#noteRolledBack()
+    if (move === null) return
+    if (record.attempt !== move.plan.record.attempt) this.#move = null
+    else if (record.phase.kind === 'moving') this.#announce(move, now)
+  }
+
+  advance(now: Milliseconds): void {
+    if (this.#move === null) this.#startIfPossible(now)
+    else this.#advanceMove(this.#move, now)
+    this.#enforceRollback(now)
+  }
+
+  nextWake(): Milliseconds | null {
+    return this.#move?.nextWake() ?? this.#rollbackDeadline
+  }
+
+  /** A move is not urgent: it waits for the store and for a target that is close behind. */
+  #startIfPossible(now: Milliseconds): void {
+    const { agreement, records } = this.#context
+    const plan = this.#plan(now)
+    if (plan === null) {
+      this.#possibleSince = null
+      return
+    }
+    this.#possibleSince ??= now
+    if (now < this.#retryAt || this.#changeController.isInProgress || !records.isStored) return
+    if (!records.isStoreResponding || agreement.agreedSince(now) !== null) return
+    if (now - this.#possibleSince < agreement.rank * RANK_DELAY_MILLISECONDS) return
+    this.#start(plan, now)
+  }
+
+  #plan(now: Milliseconds): MovePlan | null {
+    const { group, makeAttemptId, records, self } = this.#context
+    const { record } = records
+    if (record?.phase.kind !== 'stable') return null
+    const primary = group.listed(record.primary)
+    if (primary?.state !== 'leaving' || !group.canReachMajority(now)) return null
+    const target = group.findMoveTarget(primary, now)
+    if (target === null) return null
+    const attempt = makeAttemptId()
+    const coordinator = self.entryHost
+    const moving = { ...record, phase: { kind: 'moving', target }, coordinator, attempt } as const
+    return { primary: primary.id, target, record: moving }
+  }
+
+  #start(plan: MovePlan, now: Milliseconds): void {
+    const { group, eventLog, options, records } = this.#context
+    this.#move = new FailoverMove(plan, options, group, now)
+    eventLog.append('moveStarted', plan.record.term, `${plan.primary} to ${plan.target}`, now)
+    records.propose(plan.record, now)
+  }
+
+  #announce(move: FailoverMove, now: Milliseconds): void {
+    this.#announceKnownRecord()
+    move.announced(now)
+  }
+
+  #noteRolledBack(): void {
+    if (this.#rollbackDeadline !== null) this.#announceKnownRecord()
+    this.#rollbackDeadline = null
+  }
+
+  #announceKnownRecord(): void {
+    const { effects, records } = this.#context
+    if (records.known !== null) effects.emit({ kind: 'announce', ...records.known })
+  }
+
+  #advanceMove(move: FailoverMove, now: Milliseconds): void {
+    const verdict = move.advance(now)
+    switch (verdict.kind) {
+      case 'wait':
+        return
+      case 'ready':
+        this.#move = null
+        this.#failures = 0
+        this.#changeController.start(`${move.plan.primary} is leaving`, move.plan, now)
+        return
+      case 'abandoned':
+        this.#abandon(move, verdict.detail, now)
+        return
+      default:
+        assertNever(verdict)
+    }
+  }
+
+  #abandon(move: FailoverMove, detail: string, now: Milliseconds): void {
+    const { eventLog, options, records } = this.#context
+    const { record } = move.plan
+    this.#move = null
+    this.#failures += 1
+    const wait = backOffMilliseconds(
+      options.moveRetryMilliseconds,
+      this.#failures,
+      MAX_RETRY_FACTOR,
+    )
+    this.#retryAt = addMilliseconds(now, wait)
+    this.#rollbackDeadline = addMilliseconds(now, options.callTimeoutMilliseconds)
+    eventLog.append('moveAbandoned', record.term, detail, now)
+    records.propose({ ...record, phase: { kind: 'stable' } }, now)
+  }
+
+  /**
+   * Proxies hold writes until the store has the phase `stable` again. If the store does not answer
+   * in time, a change of primary at a new term, which does not wait for the store, lets them resume.
+   */
+  #enforceRollback(now: Milliseconds): void {
+    if (
+      this.#rollbackDeadline === null ||
+      now < this.#rollbackDeadline ||
+      this.#changeController.isInProgress
+    )
+      return
+    this.#rollbackDeadline = null
+    if (this.#context.records.record?.phase.kind !== 'moving') return
+    this.#changeController.start(
+      'a planned move was abandoned and the store does not answer',
+      null,
+      now,
+    )
+  }
+}
--- a/packages/coordination/src/failoverOptions.ts
+++ b/packages/coordination/src/failoverOptions.ts
@@ -1,54 +1,55 @@
-/** The failover machine's bounds, all in milliseconds unless their name says otherwise. */
+/** The failover machine's time limits and thresholds. */
 export interface FailoverOptions {
-  /** Between two position questions to one backend server. */
+  /** Between two position requests to one backend server. */
   readonly watchIntervalMilliseconds: number
-  /** A server that leaves every question unanswered for this long is suspected. */
+  /** A server that answers no position request for this long is suspected. */
   readonly detectionMilliseconds: number
-  /** Refused connections in a row after which a server's process counts as gone. */
+  /** Number of consecutive refused connections after which a server's process counts as gone. */
   readonly refusalsToSuspect: number
-  /** Between a refused connection and the next question. */
+  /** Between a refused connection and the next position request. */
   readonly refusalRetryMilliseconds: number
-  /** A primary that answers as fenced or as replica is suspected after this long without news of a newer term. */
+  /** A primary that reports to be fenced or a replica is suspected if no newer record arrives for this long. */
   readonly deposedMilliseconds: number
-  /** Suspicion after which one watcher acts alone, when no other contradicts it. */
+  /** Duration of suspicion after which a watcher acts alone if no other contradicts it. */
   readonly soleWatcherMilliseconds: number
-  /** Between two repetitions of an unchanged opinion. */
+  /** Between two transmissions of an unchanged opinion. */
   readonly opinionIntervalMilliseconds: number
-  /** An opinion that is not repeated for this long no longer counts. */
+  /** An opinion that was not sent again for this long no longer counts. */
   readonly opinionLifetimeMilliseconds: number
-  /** Between the tries of two watchers that follow each other in rank. */
-  readonly tryDelayMilliseconds: number
-  /** For the answer to one fence, promotion or follow. */
+  /** Added to a watcher's delay before it starts a change, for each watcher that ranks before it. */
+  readonly rankDelayMilliseconds: number
+  /** Timeout of one fence, promotion or follow. */
   readonly callTimeoutMilliseconds: number
-  /** Between a failed call and its repetition. */
+  /** Between a failed call and its retry. */
   readonly callRetryMilliseconds: number
-  /** For the answer to one call of the store. */
+  /** Timeout of one store call. */
   readonly storeTimeoutMilliseconds: number
-  /** Between a failed store call and its repetition; doubles up to eight times this. */
+  /** Between a failed store call and its retry; doubles up to eight times this. */
   readonly storeRetryMilliseconds: number
-  /** A change of primary that is not done after this long is given up by its coordinator. */
+  /** A change of primary that has not finished after this long is abandoned by its coordinator. */
   readonly attemptMilliseconds: number
   /** A change without progress for this long is taken over by another watcher. */
   readonly stuckChangeMilliseconds: number
-  /** Between a given-up change and the next try; doubles up to sixteen times this. */
+  /** Between an abandoned change and the next attempt; doubles up to sixteen times this. */
   readonly attemptRetryMilliseconds: number
-  /** A leader of a newer term than recorded is adopted after this long. */
+  /** A leader whose term is newer than the recorded one is adopted after this long. */
   readonly adoptionMilliseconds: number
-  /** Until an unconfirmed record is compared with the store's. */
+  /** Until a record that the store is not known to hold is compared with the stored one. */
   readonly storeCheckMilliseconds: number
-  /** A replica without progress for this long is told to follow again; doubles up to 16 times this. */
+  /** A replica without progress for this long is sent `follow` again; doubles up to 16 times this. */
   readonly stalledReplicaMilliseconds: number
-  /** A planned move starts only when its target held, this long ago or later, all that the primary had. */
+  /** A planned move starts only if its target holds all that the primary held at most this long ago. */
   readonly moveLagMilliseconds: number
   /**
-   * After the announcement of a planned move, until every proxy has heard and holds its writes, and
-   * what it sent just before has reached the primary: two ways across regions, and the time in which
-   * an agent passes a snapshot on. Sooner, the fence would cut a write in flight.
+   * From the announcement of a planned move until every proxy has received it and holds its writes,
+   * and writes sent just before have reached the primary: two one-way latencies between regions plus
+   * the time in which an agent forwards a snapshot. Fencing earlier would interrupt a write in
+   * flight.
    */
   readonly moveQuietMilliseconds: number
-  /** A planned move whose target has not caught up after this long is given up. */
+  /** A planned move whose target has not caught up after this long is abandoned. */
   readonly moveCatchUpMilliseconds: number
-  /** Between a given-up planned move and the next try; doubles up to sixteen times this. */
+  /** Between an abandoned planned move and the next attempt; doubles up to sixteen times this. */
   readonly moveRetryMilliseconds: number
 }
 
@@ -61,7 +62,7 @@
   soleWatcherMilliseconds: 2_000,
   opinionIntervalMilliseconds: 1_000,
   opinionLifetimeMilliseconds: 2_500,
-  tryDelayMilliseconds: 50,
+  rankDelayMilliseconds: 50,
   callTimeoutMilliseconds: 300,
   callRetryMilliseconds: 50,
   storeTimeoutMilliseconds: 1_000,
@@ -78,11 +79,11 @@
   moveRetryMilliseconds: 5_000,
 }
 
-/** The wait before the next of a row of tries, `failures` of which failed: doubles up to a factor. */
-export function backOff(
+/** The delay before the next attempt after `failures` failures: doubles up to `maxFactor` times. */
+export function backOffMilliseconds(
   firstMilliseconds: number,
   failures: number,
-  greatestFactor: number,
+  maxFactor: number,
 ): number {
-  return firstMilliseconds * Math.min(2 ** Math.max(0, failures - 1), greatestFactor)
+  return firstMilliseconds * Math.min(2 ** Math.max(0, failures - 1), maxFactor)
 }
--- a/packages/coordination/src/failoverRecord.ts
+++ b/packages/coordination/src/failoverRecord.ts
@@ -1,8 +1,8 @@
-/** Which of two records of a database is the newer one. */
+/** Orders the records of a database and derives the records of a change's later steps. */
 import { assertNever, type BackendServerId, type LogPosition } from '@nutmegcourse/shared'
 import { TERM_STARTS_KEPT, type GroupRecord, type TermStart } from '@nutmegcourse/protocol'
 
-/** A record, and the store's newest revision that its teller knew of. */
+/** A record, and the newest revision of the store that its sender knew. */
 export interface KnownRecord {
   readonly record: GroupRecord
   readonly revision: number
@@ -11,10 +11,10 @@
 /**
  * Orders records by term, then by progress within the term, then by revision.
  *
- * Revisions alone do not order them: a change of primary is announced as soon as the backend
- * servers made it true, which is before the store has it, and perhaps while the store is down.
- * One attempt owns a term, so within a term progress has one order; only planned moves go back
- * and forth, and those wait for the store.
+ * Revisions alone are not enough: a change of primary is announced as soon as it has taken effect on
+ * the backend servers, which is before the store holds it and possibly while the store is down.
+ * A term belongs to one attempt, so progress within a term has a single order. Only planned moves
+ * switch back and forth between phases, and those wait for the store.
  */
 export function isNewerRecord(candidate: KnownRecord, known: KnownRecord | null): boolean {
   if (known === null) return true
@@ -23,7 +23,7 @@
   return difference === 0 ? candidate.revision > known.revision : difference > 0
 }
 
-/** How far a term has come. A leader that was found, whose start nobody recorded, is `FOUND`. */
+/** The progress within a term. `FOUND`: a leader was found whose term start was not recorded. */
 const FENCING = 0
 const PROMOTING = 1
 const FOUND = 2
@@ -43,11 +43,11 @@
   }
 }
 
-/** The same change by the same attempt; how a lost answer of the store is settled. */
+/** Whether both are the same step of the same attempt; resolves swaps whose answer was lost. */
 export const isSameStep = (left: GroupRecord, right: GroupRecord): boolean =>
   left.term === right.term && left.attempt === right.attempt && left.phase.kind === right.phase.kind
 
-/** The record once a server is chosen and promotion is under way. */
+/** The record while the chosen server is being promoted. */
 export function withChosen(
   record: GroupRecord,
   chosen: BackendServerId,
--- a/packages/coordination/src/failoverServerWatch.ts
+++ b/packages/coordination/src/failoverServerWatch.ts
@@ -1,4 +1,4 @@
-/** How one backend server answers position questions. */
+/** Polls the position of one backend server and determines whether the server responds. */
 import {
   addMilliseconds,
   milliseconds,
@@ -9,40 +9,40 @@
 
 import type { ControlFailure } from './failoverMessages.js'
 import type { FailoverOptions } from './failoverOptions.js'
-import type { FailoverOutlet } from './failoverOutlet.js'
+import type { FailoverEffectQueue } from './failoverEffectQueue.js'
 
-/** An answer, and the time of its question: the report held at some moment after it. */
+/** A report and when it was requested: it was true at some time after that. */
 export interface DatedReport {
   readonly report: PositionReport
   readonly askedAt: Milliseconds
 }
 
-/** Between two questions to a server that a step waits on. */
-const HURRY_MILLISECONDS = 5
-/** Within which the other watchers' opinions on a suspected primary should be here. */
+/** Between two position requests to a server on whose position a step waits. */
+const FAST_POLL_INTERVAL_MILLISECONDS = 5
+/** The time within which the other watchers' opinions of a suspected primary should arrive. */
 const DECISION_MILLISECONDS = 150
-/** Beyond a question's own timeout, in which the shell should have said that it failed. */
-const LOST_QUESTION_MILLISECONDS = 200
+/** Added to a request's own timeout, within which the caller should have reported the failure. */
+const POLL_TIMEOUT_MARGIN_MILLISECONDS = 200
 
 export class FailoverServerWatch {
   readonly #server: BackendServerId
   readonly #options: FailoverOptions
   #latest: DatedReport | null = null
-  /** When its fence was first seen where it stands. */
+  /** When its current fenced term was first reported. */
   #fencedSince: Milliseconds | null = null
-  /** When the question under way was asked; null when none is. */
-  #askedAt: Milliseconds | null = null
-  #nextAskAt: Milliseconds
-  /** When the first question was asked that no answer came after. */
+  /** When the position request in flight was sent; null when there is none. */
+  #pendingSince: Milliseconds | null = null
+  #nextPollAt: Milliseconds
+  /** When the first request since the last answer was sent or failed; null when there is none. */
   #unansweredSince: Milliseconds | null = null
   #refusals = 0
-  /** The last question ended with its connection, or the idle connection broke since. */
-  #hasBroken = false
+  /** The connection broke during the last request or while it was idle after it. */
+  #connectionBroke = false
 
   constructor(server: BackendServerId, options: FailoverOptions, now: Milliseconds) {
     this.#server = server
     this.#options = options
-    this.#nextAskAt = now
+    this.#nextPollAt = now
   }
 
   get latest(): DatedReport | null {
@@ -54,98 +54,100 @@
   }
 
   answered(report: PositionReport, askedAt: Milliseconds, now: Milliseconds): void {
-    this.#askedAt = null
+    this.#pendingSince = null
     this.#unansweredSince = null
     this.#refusals = 0
-    this.#hasBroken = false
-    this.#nextAskAt = milliseconds(Math.max(now, askedAt + this.#options.watchIntervalMilliseconds))
+    this.#connectionBroke = false
+    this.#nextPollAt = milliseconds(
+      Math.max(now, askedAt + this.#options.watchIntervalMilliseconds),
+    )
     if (this.#latest !== null && this.#latest.askedAt > askedAt) return
     if (this.#latest?.report.fencedTerm !== report.fencedTerm) this.#fencedSince = now
     this.#latest = { report, askedAt }
   }
 
-  /** Whether its process was seen to be gone since its last answer. */
-  get wasGone(): boolean {
+  /** Whether the server refused so many connections in a row that its process counts as gone. */
+  get wasProcessGone(): boolean {
     return this.#refusals >= this.#options.refusalsToSuspect
   }
 
-  /** A question failed, or the control connection broke while nothing was asked on it. */
+  /** Called when a position request failed or the idle control connection broke. */
   failed(failure: ControlFailure, now: Milliseconds): void {
-    const brokeBefore = this.#hasBroken
-    this.#askedAt = null
+    const brokeBefore = this.#connectionBroke
+    this.#pendingSince = null
     this.#unansweredSince ??= now
-    this.#hasBroken = failure === 'lost'
+    this.#connectionBroke = failure === 'lost'
     this.#refusals = failure === 'refused' ? this.#refusals + 1 : 0
-    // A connection that broke and then none to be had is the end of a process as two refusals are.
+    // A broken connection followed by a refused one shows the end of a process as two refusals do.
     if (failure === 'refused' && brokeBefore) this.#refusals += 1
-    this.#nextAskAt = addMilliseconds(now, this.#waitAfter(failure, brokeBefore))
+    this.#nextPollAt = addMilliseconds(now, this.#delayAfter(failure, brokeBefore))
   }
 
-  /** A connection that just broke is tried again at once: a dead process then shows itself. */
-  #waitAfter(failure: ControlFailure, brokeBefore: boolean): number {
+  /** After a broken connection the next request is sent at once, since a dead process refuses it. */
+  #delayAfter(failure: ControlFailure, brokeBefore: boolean): number {
     if (failure === 'lost' && !brokeBefore) return 0
     const { refusalRetryMilliseconds, refusalsToSuspect, watchIntervalMilliseconds } = this.#options
     const isSettled = this.#refusals >= refusalsToSuspect
     return isSettled ? watchIntervalMilliseconds : refusalRetryMilliseconds
   }
 
-  /** Asks when it is time to. */
-  advance(now: Milliseconds, outlet: FailoverOutlet): void {
-    if (now < this.#nextQuestionAt()) return
-    this.#askedAt = now
+  /** Sends a position request if one is due. */
+  advance(now: Milliseconds, effects: FailoverEffectQueue): void {
+    if (now < this.#pollDueAt()) return
+    this.#pendingSince = now
     this.#unansweredSince ??= now
     const timeoutMilliseconds = this.#options.detectionMilliseconds
-    outlet.emit({ kind: 'askPosition', server: this.#server, timeoutMilliseconds })
+    effects.emit({ kind: 'askPosition', server: this.#server, timeoutMilliseconds })
   }
 
-  /** Asks again soon, for a step that waits on the server's position. */
-  hurry(now: Milliseconds): void {
+  /** Brings the next request forward for a step that waits on the server's position. */
+  pollSoon(now: Milliseconds): void {
     const last = this.#latest?.askedAt ?? now
-    const soon = Math.max(now, last + HURRY_MILLISECONDS)
-    this.#nextAskAt = milliseconds(Math.min(this.#nextAskAt, soon))
+    const soon = Math.max(now, last + FAST_POLL_INTERVAL_MILLISECONDS)
+    this.#nextPollAt = milliseconds(Math.min(this.#nextPollAt, soon))
   }
 
   /**
-   * Starts the count of silence anew. After a pause of this process its own silence would pass for
-   * the server's: answers that arrived meanwhile are still unread.
+   * Restarts the silence timer. After a stall of this process the time without an answer says
+   * nothing about the server: answers that arrived in the meantime are still unread.
    */
-  forgiveSilence(now: Milliseconds): void {
+  resetSilence(now: Milliseconds): void {
     if (this.#unansweredSince !== null) this.#unansweredSince = now
   }
 
-  isSilent(now: Milliseconds): boolean {
+  isUnresponsive(now: Milliseconds): boolean {
     if (this.#refusals >= this.#options.refusalsToSuspect) return true
     if (this.#unansweredSince === null) return false
     return now - this.#unansweredSince >= this.#options.detectionMilliseconds
   }
 
   /**
-   * It may be suspected soon, or was just now. Bounded, so that a watcher whose suspicion nobody
-   * shares goes on as before.
+   * Whether the server may soon be suspected or has just been. Limited in time, so that a watcher
+   * whose suspicion no other watcher shares resumes normal polling.
    */
-  isInTrouble(now: Milliseconds): boolean {
+  isSuspicionLikely(now: Milliseconds): boolean {
     if (this.#unansweredSince === null) return false
     const age = now - this.#unansweredSince
     const { detectionMilliseconds } = this.#options
-    if (this.#hasBroken || this.#refusals > 0) return age < DECISION_MILLISECONDS
+    if (this.#connectionBroke || this.#refusals > 0) return age < DECISION_MILLISECONDS
     const isLate = age >= detectionMilliseconds / 2
     return isLate && age < detectionMilliseconds + DECISION_MILLISECONDS
   }
 
   isReachable(now: Milliseconds): boolean {
-    return this.#latest !== null && this.#refusals === 0 && !this.isSilent(now)
+    return this.#latest !== null && this.#refusals === 0 && !this.isUnresponsive(now)
   }
 
   nextWake(now: Milliseconds): Milliseconds {
-    const question = this.#nextQuestionAt()
-    if (this.#unansweredSince === null || this.isSilent(now)) return question
+    const question = this.#pollDueAt()
+    if (this.#unansweredSince === null || this.isUnresponsive(now)) return question
     const silentAt = this.#unansweredSince + this.#options.detectionMilliseconds
     return milliseconds(Math.min(question, silentAt))
   }
 
-  #nextQuestionAt(): Milliseconds {
-    if (this.#askedAt === null) return this.#nextAskAt
-    const bound = this.#options.detectionMilliseconds + LOST_QUESTION_MILLISECONDS
-    return addMilliseconds(this.#askedAt, bound)
+  #pollDueAt(): Milliseconds {
+    if (this.#pendingSince === null) return this.#nextPollAt
+    const bound = this.#options.detectionMilliseconds + POLL_TIMEOUT_MARGIN_MILLISECONDS
+    return addMilliseconds(this.#pendingSince, bound)
   }
 }
--- a/packages/coordination/src/failoverSuspicion.ts
+++ b/packages/coordination/src/failoverSuspicion.ts
@@ -1,4 +1,4 @@
-/** Whether this watcher finds that the recorded primary has to be replaced. */
+/** Decides whether this watcher suspects the recorded primary. */
 import type { Milliseconds } from '@nutmegcourse/shared'
 
 import type { OpinionSubject } from './failoverAgreement.js'
@@ -6,10 +6,10 @@
 import type { FailoverOptions } from './failoverOptions.js'
 import type { FailoverServerWatch } from './failoverServerWatch.js'
 
-export type Suspicion = 'silent' | 'deposed' | 'unlisted'
+export type Suspicion = 'unresponsive' | 'deposed' | 'unlisted'
 
 export const SUSPICION_TEXTS: Readonly<Record<Suspicion, string>> = {
-  silent: 'does not answer',
+  unresponsive: 'does not answer',
   deposed: 'answers but does not lead',
   unlisted: 'is not listed',
 }
@@ -24,29 +24,33 @@
     this.#group = group
   }
 
-  /** Forgets what it saw of the last primary. */
+  /** Discards the observations of the last primary. */
   reset(): void {
     this.#deposedSince = null
   }
 
-  /** `learnedAt` is when the subject was learned to lead; reports from before do not tell of it. */
-  judge(subject: OpinionSubject, learnedAt: Milliseconds, now: Milliseconds): Suspicion | null {
+  /** Reports requested before `recordChangedAt` say nothing about the subject's current leadership. */
+  evaluate(
+    subject: OpinionSubject,
+    recordChangedAt: Milliseconds,
+    now: Milliseconds,
+  ): Suspicion | null {
     const watch = this.#group.watch(subject.server)
     if (watch === null) return this.#group.servers.length > 0 ? 'unlisted' : null
-    if (watch.isSilent(now)) return 'silent'
-    return this.#isDeposed(watch, subject, learnedAt, now) ? 'deposed' : null
+    if (watch.isUnresponsive(now)) return 'unresponsive'
+    return this.#isDeposed(watch, subject, recordChangedAt, now) ? 'deposed' : null
   }
 
-  /** It answers, but leads no more: it was restarted as a replica, or fenced by a lost coordinator. */
+  /** Whether it answers but no longer leads: restarted as a replica, or fenced by a lost coordinator. */
   #isDeposed(
     watch: FailoverServerWatch,
     subject: OpinionSubject,
-    learnedAt: Milliseconds,
+    recordChangedAt: Milliseconds,
     now: Milliseconds,
   ): boolean {
     const { latest } = watch
     if (latest === null) return false
-    const isOutdated = latest.askedAt < learnedAt
+    const isOutdated = latest.askedAt < recordChangedAt
     const { role, fencedTerm } = latest.report
     const leads = role === 'primary' && fencedTerm <= subject.term
     if (isOutdated || leads) {
