--- a/packages/coordination/__tests__/failoverCoordinator.spec.ts
+++ b/packages/coordination/__tests__/failoverCoordinator.spec.ts
@@ -3,10 +3,11 @@
 import type { FailoverEffect } from '@nutmegcourse/coordination'
 import { isAnnounced, isSwapped, runScenario } from './failoverScenario.js'
 
-describe('FailoverCore outlives its coordinator', () => {
+describe('FailoverCore', () => {
   /*
-   * The primary fails, the host that replaces it stops between two steps, and callers wait for
-   * ever; or it wakes later, goes on with its outdated change, and two primaries take writes.
+   * The primary fails and the coordinator of its replacement stops between two steps. Guards against
+   * callers that wait for ever, and against two primaries that accept writes because the coordinator
+   * resumes later and continues its outdated change.
    */
   const steps: readonly {
     readonly name: string
@@ -28,7 +29,7 @@
   ] as const
   for (const step of steps) {
     for (const { ending, carriesOut, stop } of endings) {
-      test(`${ending} ${step.name}`, () => {
+      test(`completes the change when its coordinator is ${ending} ${step.name}`, () => {
         runScenario({
           name: step.name,
           act: simulation => {
--- a/packages/coordination/__tests__/failoverCore.spec.ts
+++ b/packages/coordination/__tests__/failoverCore.spec.ts
@@ -8,29 +8,29 @@
 } from './failoverScenario.js'
 import { FailoverSimulation } from './failoverSimulation.js'
 
-describe('FailoverCore replaces a failed primary', () => {
+describe('FailoverCore', () => {
   /*
-   * A caller's write is acknowledged, then the primary fails, and the next primary lacks the write
-   * or holds it twice. Or callers wait for seconds because nobody promotes a new primary.
-   * Cause: the choice of the new primary, or a step of the change that waits for what is gone.
+   * Guards against a new primary that lacks an acknowledged write or holds it twice, which comes
+   * from a wrong choice of the new primary, and against callers that wait for seconds because no
+   * primary is promoted, which comes from a step that waits for something that has failed.
    */
   const scenarios: readonly Scenario[] = [
     {
-      name: 'killed',
+      name: 'replaces a primary that was killed',
       act: simulation => {
         simulation.kill('server-0')
       },
       gapBelow: 250,
     },
     {
-      name: 'frozen',
+      name: 'replaces a primary that is frozen',
       act: simulation => {
         simulation.network.freeze('server-0')
       },
       gapBelow: 600,
     },
     {
-      name: 'frozen, and thawed while it is being replaced',
+      name: 'replaces a frozen primary that thaws during its replacement',
       act: simulation => {
         simulation.network.freeze('server-0')
         simulation.runFor(430)
@@ -39,7 +39,7 @@
       gapBelow: 600,
     },
     {
-      name: 'frozen, and thawed after it was replaced',
+      name: 'replaces a frozen primary that thaws after its replacement',
       act: simulation => {
         simulation.network.freeze('server-0')
         simulation.runFor(3_000)
@@ -48,14 +48,14 @@
       gapBelow: 600,
     },
     {
-      name: 'cut off with its zone',
+      name: 'replaces a primary whose zone is isolated',
       act: simulation => {
         simulation.network.isolate('tanger-nord')
       },
       gapBelow: 600,
     },
     {
-      name: 'cut off with its zone, which comes back with writes that no other holds',
+      name: 'replaces a primary whose zone is isolated and rejoins with writes that no other server holds',
       act: simulation => {
         simulation.network.isolate('tanger-nord')
         simulation.runFor(3_000)
@@ -64,7 +64,7 @@
       gapBelow: 600,
     },
     {
-      name: 'lost with the watcher of its zone',
+      name: 'replaces a primary killed together with the watcher of its zone',
       act: simulation => {
         simulation.kill('server-0')
         simulation.kill('host-0')
@@ -72,7 +72,7 @@
       gapBelow: 300,
     },
     {
-      name: 'lost with two of three watchers',
+      name: 'replaces a primary killed together with two of three watchers',
       act: simulation => {
         simulation.kill('server-0')
         simulation.kill('host-0')
@@ -82,7 +82,7 @@
       leader: 'server-1',
     },
     {
-      name: 'killed while one replica is far behind, which then catches up',
+      name: 'promotes the up-to-date replica when the other is far behind and then catches up',
       options: { lag: [0, 2_000, 0] },
       act: simulation => {
         simulation.kill('server-0')
@@ -92,7 +92,7 @@
       leader: 'server-2',
     },
     {
-      name: 'killed and restarted later with records that no other holds',
+      name: 'replaces a killed primary that restarts later with records that no other server holds',
       act: simulation => {
         simulation.server(0).write(-1)
         simulation.kill('server-0')
@@ -102,14 +102,14 @@
       gapBelow: 250,
     },
     {
-      name: 'restarted as a replica',
+      name: 'replaces a primary that restarted as a replica',
       act: simulation => {
         simulation.server(0).role = 'replica'
       },
       gapBelow: 600,
     },
     {
-      name: 'fenced by a coordinator of which no more is heard',
+      name: 'replaces a primary that a lost coordinator fenced',
       act: simulation => {
         simulation.server(0).fence(5)
       },
@@ -123,7 +123,7 @@
     })
   }
 
-  test('a replica was fenced by a coordinator of which no more is heard: it follows again', () => {
+  test('makes a replica that a lost coordinator fenced follow again', () => {
     const simulation = new FailoverSimulation()
     simulation.runFor(WARM_UP_MILLISECONDS)
     simulation.server(1).fence(5)
@@ -134,7 +134,7 @@
     expect(simulation.gapSince(WARM_UP_MILLISECONDS)).toBeLessThan(300)
   })
 
-  test('frozen, and the chosen server freezes before its promotion', () => {
+  test('recovers when the primary is frozen and the chosen server freezes before its promotion', () => {
     const simulation = new FailoverSimulation({ watcherZones: ['tanger-sud'] })
     simulation.runFor(WARM_UP_MILLISECONDS)
     simulation.intercept = (_, effect) => {
@@ -151,7 +151,7 @@
     expect(simulation.gapSince(WARM_UP_MILLISECONDS)).toBeLessThan(4_000)
   })
 
-  test('killed, and five watchers try at the same moment', () => {
+  test('replaces a frozen primary when five watchers start at the same time', () => {
     const zones = ['tanger-nord', 'tanger-sud', 'casa-est', 'tanger-nord', 'casa-est']
     for (const seed of [1, 2, 3, 4, 5]) {
       const failover = { rankDelayMilliseconds: 0 }
@@ -166,7 +166,7 @@
     }
   })
 
-  test('killed, and its coordinator is no longer a watcher when it goes on', () => {
+  test('replaces a killed primary when its coordinator stops being a watcher during the change', () => {
     const simulation = new FailoverSimulation()
     simulation.runFor(WARM_UP_MILLISECONDS)
     const failedAt = simulation.now
@@ -186,10 +186,12 @@
     expect(simulation.steps().includes('abandoned')).toEqual(true)
     expect(simulation.lostOrDuplicatedWrites()).toEqual([])
     expect(simulation.gapSince(failedAt)).toBeLessThan(1_500)
-    expect(simulation.node(1).core.known?.record.primary).toEqual(simulation.leader()?.id ?? null)
+    expect(simulation.node(1).core.knownRecord?.record.primary).toEqual(
+      simulation.leader()?.id ?? null,
+    )
   })
 
-  test('killed while both replicas are far behind: no acknowledged write is lost', () => {
+  test('loses no acknowledged write when the primary is killed while both replicas are far behind', () => {
     const simulation = new FailoverSimulation({ lag: [0, 300, 300] })
     simulation.runFor(2_000)
     const failedAt = simulation.now
@@ -200,7 +202,7 @@
     expect(simulation.writers.acknowledged.some(entry => entry.at > failedAt + 1_000)).toEqual(true)
   })
 
-  test('killed again and again', () => {
+  test('loses no acknowledged write when one primary after another is killed', () => {
     const simulation = new FailoverSimulation()
     simulation.runFor(WARM_UP_MILLISECONDS)
     for (let round = 0; round < 4; round += 1) {
--- a/packages/coordination/__tests__/failoverGap.spec.ts
+++ b/packages/coordination/__tests__/failoverGap.spec.ts
@@ -13,7 +13,7 @@
 
 const SHOWN_STEPS = ['suspected', 'agreed', 'fenced', 'promoted'] as const
 
-/** The gap of the host that waits longest, and when each step of the change was first taken, in virtual milliseconds. */
+/** The write gap of the host that waits longest, and when each step first happened, in virtual ms. */
 function describeGap(simulation: FailoverSimulation, since: number): string {
   const steps = SHOWN_STEPS.map(step => {
     const at = simulation.events.find(event => event.step === step)?.at
@@ -26,17 +26,17 @@
   place: Place,
   primary: number,
   failure: Failure,
-  isNaive: boolean,
+  waitsForStore: boolean,
 ): FailoverSimulation {
   const simulation = new FailoverSimulation({ place, primary })
-  if (isNaive) waitForStore(simulation)
+  if (waitsForStore) waitForStore(simulation)
   simulation.runFor(1_040)
   failure.act(simulation)
   simulation.runFor(4_000)
   return simulation
 }
 
-/** The naive way: no step before the store has recorded the one before it. */
+/** Delays each step until the store has recorded the one before it, for comparison. */
 function waitForStore(simulation: FailoverSimulation): void {
   const phases = new Map<string, string>()
   const held: { readonly phase: string; readonly run: () => void }[] = []
@@ -63,7 +63,7 @@
   }
 }
 
-/** What the store must hold before the naive way goes on. */
+/** The term and phase that the store must hold before the effect is executed; null for none. */
 function phaseBefore(effect: FailoverEffect): string | null {
   if (effect.kind === 'fence') return `${effect.term}-fencing`
   if (effect.kind === 'promote') return `${effect.term}-promoting`
@@ -71,7 +71,7 @@
   return `${effect.record.term}-stable`
 }
 
-describe('the failover gap in virtual time', () => {
+describe('FailoverCore in virtual time', () => {
   const failures: readonly Failure[] = [
     {
       name: 'killed',
@@ -105,16 +105,16 @@
     for (const primary of [0, 2]) {
       for (const failure of failures) {
         const zone = place.zones[primary] ?? ''
-        test(`${name}, primary in ${zone} ${failure.name}`, context => {
+        test(`limits the write gap in ${name} when the primary in ${zone} is ${failure.name}`, context => {
           const simulation = measure(place, primary, failure, false)
-          const naive = measure(place, primary, failure, true)
+          const storeFirst = measure(place, primary, failure, true)
           context.diagnostic(describeGap(simulation, 1_040))
-          context.diagnostic(`store first: ${describeGap(naive, 1_040)}`)
+          context.diagnostic(`store first: ${describeGap(storeFirst, 1_040)}`)
           expect(simulation.lostOrDuplicatedWrites()).toEqual([])
-          expect(naive.lostOrDuplicatedWrites()).toEqual([])
+          expect(storeFirst.lostOrDuplicatedWrites()).toEqual([])
           expect(simulation.longestHostGapSince(1_040)).toBeLessThan(failure.gapBelow)
           expect(simulation.longestHostGapSince(1_040)).toBeLessThan(
-            naive.longestHostGapSince(1_040),
+            storeFirst.longestHostGapSince(1_040),
           )
         })
       }
--- a/packages/coordination/__tests__/failoverHealthy.spec.ts
+++ b/packages/coordination/__tests__/failoverHealthy.spec.ts
@@ -3,14 +3,14 @@
 import { WARM_UP_MILLISECONDS, runScenario, type Scenario } from './failoverScenario.js'
 import { FailoverSimulation } from './failoverSimulation.js'
 
-describe('FailoverCore leaves a healthy primary alone', () => {
+describe('FailoverCore', () => {
   /*
-   * Writes stop for a moment although every backend server is well.
-   * Cause: a watcher takes its own pause, its own lost link or another's word for a dead primary.
+   * Guards against an interruption of writes while every backend server is healthy, which happens
+   * when a watcher takes its own stall, its own lost link or another's opinion for a dead primary.
    */
   const scenarios: readonly Scenario[] = [
     {
-      name: 'when it pauses for less than the bound',
+      name: 'keeps a primary that stalls for less than the detection time',
       act: simulation => {
         simulation.network.freeze('server-0')
         simulation.runFor(300)
@@ -19,7 +19,7 @@
       gapBelow: 420,
     },
     {
-      name: 'when a watcher was frozen',
+      name: 'keeps the primary when a watcher was frozen',
       act: simulation => {
         simulation.network.freeze('host-1')
         simulation.runFor(2_000)
@@ -28,7 +28,7 @@
       gapBelow: 100,
     },
     {
-      name: 'when every watcher was frozen',
+      name: 'keeps the primary when every watcher was frozen',
       act: simulation => {
         for (const host of ['host-0', 'host-1', 'host-2']) simulation.network.freeze(host)
         simulation.runFor(1_500)
@@ -37,7 +37,7 @@
       gapBelow: 1_600,
     },
     {
-      name: 'when another zone is cut off',
+      name: 'keeps the primary when another zone is isolated',
       act: simulation => {
         simulation.network.isolate('casa-est')
         simulation.runFor(5_000)
@@ -46,14 +46,14 @@
       gapBelow: 200,
     },
     {
-      name: 'when the store is down',
+      name: 'keeps the primary while the store is down',
       act: simulation => {
         simulation.store.state = 'down'
       },
       gapBelow: 100,
     },
     {
-      name: 'when a replica is killed',
+      name: 'keeps the primary when a replica is killed',
       act: simulation => {
         simulation.kill('server-1')
         simulation.runFor(2_000)
@@ -70,12 +70,12 @@
   }
 
   /*
-   * A replica is killed and restarted; a moment later another server fails. Callers wait for seconds,
-   * although two servers run.
-   * Cause: a restarted replica replicates from nobody until it is told, and only a long standstill
-   * told the watchers. That its process was gone and answers again tells them at once.
+   * A replica is killed and restarted, and shortly afterwards another server fails. Guards against
+   * callers that wait for seconds although two servers are running: a restarted replica does not
+   * replicate until it receives `follow`, which used to be sent only after a long time without
+   * progress. It must be sent as soon as the restarted process answers.
    */
-  test('and tells a restarted replica to follow again at once', () => {
+  test('makes a restarted replica follow again at once', () => {
     const simulation = new FailoverSimulation()
     simulation.runFor(WARM_UP_MILLISECONDS)
     simulation.kill('server-1')
@@ -87,7 +87,7 @@
     expect(simulation.steps().includes('termTaken')).toEqual(false)
   })
 
-  test('when its process stood still and timers run before sockets', () => {
+  test('does not suspect the primary when its own process stalled and timers run before sockets', () => {
     const simulation = new FailoverSimulation({ watcherZones: ['tanger-sud'] })
     simulation.runFor(WARM_UP_MILLISECONDS)
     const { core } = simulation.node(0)
@@ -99,7 +99,7 @@
     expect(suspicions).toEqual([])
   })
 
-  test('when the host list loses the lines of all but one replica', () => {
+  test('keeps the primary when the host list loses the lines of all but one replica', () => {
     const simulation = new FailoverSimulation()
     simulation.runFor(WARM_UP_MILLISECONDS)
     simulation.listOnly(1)
@@ -108,7 +108,7 @@
     expect(simulation.steps().includes('termTaken')).toEqual(false)
   })
 
-  test('when one watcher alone is cut off from it', () => {
+  test('keeps the primary when only one watcher cannot reach it', () => {
     const simulation = new FailoverSimulation({
       watcherZones: ['tanger-nord', 'tanger-sud', 'tanger-sud'],
     })
--- a/packages/coordination/__tests__/failoverMove.spec.ts
+++ b/packages/coordination/__tests__/failoverMove.spec.ts
@@ -10,8 +10,8 @@
   readonly name: string
   readonly options?: SimulationOptions
   readonly act: (simulation: FailoverSimulation) => void
-  /** Virtual milliseconds from the operators' drain on. */
-  readonly span?: number
+  /** How long the simulation runs after `act`, in virtual milliseconds. */
+  readonly runMilliseconds?: number
   readonly gapBelow: number
   readonly leader: string
   readonly steps: readonly string[]
@@ -20,7 +20,7 @@
 const isMovingAnnounced = (effect: FailoverEffect): boolean =>
   effect.kind === 'announce' && effect.record.phase.kind === 'moving'
 
-/** Runs `act` when proxies are first told to hold their writes. */
+/** Runs `act` when the phase `moving`, in which proxies hold writes, is first announced. */
 function whenMoving(simulation: FailoverSimulation, act: (host: string) => void): void {
   let isDone = false
   simulation.intercept = (host, effect) => {
@@ -31,21 +31,22 @@
   }
 }
 
-describe('FailoverCore moves the role of a leaving primary', () => {
+describe('FailoverCore', () => {
   /*
-   * Operators drain a backend server. Writes under way are lost or stop for seconds, or the move
-   * hangs and holds every write because its target, its coordinator or the store has gone.
+   * Operators drain the primary's backend server. Guards against writes in flight that are lost or
+   * stop for seconds, and against a move that hangs and holds every write because its target, its
+   * coordinator or the store has failed.
    */
   const scenarios: readonly MoveScenario[] = [
     {
-      name: 'to the server of its region that has caught up',
+      name: 'moves the primary role to the server in its region that has caught up',
       act: () => undefined,
       gapBelow: 150,
       leader: 'server-1',
       steps: ['moveStarted', 'completed'],
     },
     {
-      name: 'past a replica that is far behind',
+      name: 'moves the primary role to another region when the replica in its region is far behind',
       options: { lag: [0, 2_000, 0] },
       act: simulation => {
         simulation.runFor(5_000)
@@ -56,7 +57,7 @@
       steps: ['moveStarted', 'completed'],
     },
     {
-      name: 'only once a replica has caught up',
+      name: 'moves the primary role only once a replica has caught up',
       options: { lag: [0, 400, 400], failover: { moveLagMilliseconds: 250 } },
       act: simulation => {
         simulation.runFor(3_000)
@@ -68,7 +69,7 @@
       steps: ['moveStarted', 'completed'],
     },
     {
-      name: 'while the store is slow by half a second',
+      name: 'moves the primary role while the store is slow by half a second',
       act: simulation => {
         simulation.store.delay = 500
       },
@@ -77,32 +78,32 @@
       steps: ['moveStarted', 'completed'],
     },
     {
-      name: 'once a store that was down answers again',
+      name: 'moves the primary role once a store that was down answers again',
       act: simulation => {
         simulation.store.state = 'down'
         simulation.runFor(5_000)
         expect(simulation.leader()?.id as string).toEqual('server-0')
         simulation.store.state = 'up'
       },
-      span: 15_000,
+      runMilliseconds: 15_000,
       gapBelow: 150,
       leader: 'server-1',
       steps: ['moveStarted', 'completed'],
     },
     {
-      name: 'to another server when the target dies in the move',
+      name: 'moves the primary role to another server when the target is killed during the move',
       act: simulation => {
         whenMoving(simulation, () => {
           simulation.kill('server-1')
         })
       },
-      span: 20_000,
+      runMilliseconds: 20_000,
       gapBelow: 700,
       leader: 'server-2',
       steps: ['moveStarted', 'moveAbandoned', 'moveStarted', 'completed'],
     },
     {
-      name: 'when the primary dies in the move',
+      name: 'completes the move when the primary is killed during it',
       act: simulation => {
         whenMoving(simulation, () => {
           simulation.kill('server-0')
@@ -113,19 +114,19 @@
       steps: ['moveStarted', 'agreed', 'completed'],
     },
     {
-      name: 'when the coordinator dies in the move',
+      name: 'completes the move when the coordinator is killed during it',
       act: simulation => {
         whenMoving(simulation, host => {
           simulation.kill(host)
         })
       },
-      span: 20_000,
+      runMilliseconds: 20_000,
       gapBelow: 2_500,
       leader: 'server-1',
       steps: ['moveStarted', 'completed'],
     },
     {
-      name: 'when the coordinator is frozen in the move and wakes after it',
+      name: 'completes the move when the coordinator is frozen during it and thaws afterwards',
       act: simulation => {
         whenMoving(simulation, host => {
           simulation.network.freeze(host)
@@ -134,13 +135,13 @@
           })
         })
       },
-      span: 20_000,
+      runMilliseconds: 20_000,
       gapBelow: 2_500,
       leader: 'server-1',
       steps: ['moveStarted', 'completed'],
     },
     {
-      name: 'when the store goes down and the target dies in the move',
+      name: 'moves the primary role to another server when the store goes down and the target is killed during the move',
       act: simulation => {
         whenMoving(simulation, () => {
           simulation.store.state = 'down'
@@ -149,19 +150,19 @@
         simulation.runFor(5_000)
         simulation.store.state = 'up'
       },
-      span: 30_000,
+      runMilliseconds: 30_000,
       gapBelow: 1_200,
       leader: 'server-2',
       steps: ['moveStarted', 'moveAbandoned', 'completed'],
     },
     {
-      name: 'when the answer of the store to the move is lost',
+      name: "completes the move when the store's answer to it is lost",
       act: simulation => {
         simulation.store.state = 'answersLost'
         simulation.runFor(2_000)
         simulation.store.state = 'up'
       },
-      span: 20_000,
+      runMilliseconds: 20_000,
       gapBelow: 300,
       leader: 'server-1',
       steps: ['moveStarted', 'completed'],
@@ -174,12 +175,12 @@
       const drainedAt = simulation.now
       simulation.setLeaving(0)
       scenario.act(simulation)
-      simulation.runFor(scenario.span ?? 8_000)
-      const isFine =
+      simulation.runFor(scenario.runMilliseconds ?? 8_000)
+      const hasPassed =
         simulation.hasConverged() &&
         simulation.gapSince(drainedAt) < scenario.gapBelow &&
         (simulation.leader()?.id as string) === scenario.leader
-      if (!isFine) printTrace(simulation, drainedAt)
+      if (!hasPassed) printTrace(simulation, drainedAt)
       expect(simulation.lostOrDuplicatedWrites()).toEqual([])
       expect(simulation.hasConverged()).toEqual(true)
       expect(simulation.leader()?.id as string).toEqual(scenario.leader)
@@ -188,7 +189,7 @@
     })
   }
 
-  test('in one change although the replicas are a little behind', () => {
+  test('moves the primary role in a single change when the replicas are slightly behind', () => {
     const simulation = new FailoverSimulation({ lag: [0, 200, 200] })
     simulation.runFor(2_000)
     simulation.setLeaving(0)
@@ -198,7 +199,7 @@
     expect(simulation.lostOrDuplicatedWrites()).toEqual([])
   })
 
-  test('and leaves it there while no other server stays', () => {
+  test('does not move the primary role while every server is leaving', () => {
     const simulation = new FailoverSimulation()
     simulation.runFor(WARM_UP_MILLISECONDS)
     simulation.setLeaving(0, 1, 2)
@@ -208,7 +209,7 @@
   })
 })
 
-/** Shown only by a failing test. */
+/** Prints the steps of the simulation; called only when the test is about to fail. */
 function printTrace(simulation: FailoverSimulation, since: number): void {
   console.log('gap', simulation.gapSince(since))
   for (const event of simulation.events) {
--- a/packages/coordination/__tests__/failoverScenario.ts
+++ b/packages/coordination/__tests__/failoverScenario.ts
@@ -1,4 +1,4 @@
-/** Plays a scenario in a virtual fleet and checks that it ends well. */
+/** Runs a scenario in a simulated fleet and checks that writes resume and none is lost. */
 import { expect } from 'earl'
 import type { FailoverEffect } from '@nutmegcourse/coordination'
 import { FailoverSimulation, type SimulationOptions } from './failoverSimulation.js'
@@ -9,9 +9,9 @@
 export interface Scenario {
   readonly name: string
   readonly options?: SimulationOptions
-  /** The failure, and what follows it. */
+  /** Causes the failure and any later events. */
   readonly act: (simulation: FailoverSimulation) => void
-  /** Virtual milliseconds without an acknowledged write that the scenario may cost. */
+  /** Upper limit of the time without an acknowledged write, in virtual milliseconds. */
   readonly gapBelow: number
   /** The server that leads in the end, where only one may. */
   readonly leader?: string
@@ -34,7 +34,7 @@
   return simulation
 }
 
-/** Shown only by a failing test. */
+/** Prints events and final states; called only when the scenario is about to fail. */
 function printTrace(simulation: FailoverSimulation, since: number): void {
   const lines = simulation.events.map(event => {
     const at = (event.at - since).toFixed(1)
--- a/packages/coordination/__tests__/failoverSimulation.ts
+++ b/packages/coordination/__tests__/failoverSimulation.ts
@@ -1,6 +1,7 @@
 /**
- * Several failover machines, fake backend servers and a fake store under a virtual clock, joined
- * by links with a deployment's latencies. Writers acknowledge by a majority, as proxies do.
+ * Simulates several failover machines, fake backend servers and a fake store under a virtual clock,
+ * joined by links with the latencies of a deployment. Writers acknowledge by a majority, as proxies
+ * do.
  */
 import {
   SeededRandom,
@@ -32,14 +33,14 @@
 import { ATLAS_QUAI, VirtualNetwork, type Place } from './virtualNetwork.js'
 
 const DATABASE = databaseId('quai-sched-1')
-/** Between two rounds in which a primary sends its log. */
+/** Between two transmissions of a primary's log. */
 const REPLICATION_INTERVAL_MILLISECONDS = 5
 
 interface WatcherNode {
   readonly watcher: Watcher
   core: FailoverCore
   wakeAt: number | null
-  /** The record that this host's proxies route by. */
+  /** The record by which this host's proxies route. */
   routed: KnownRecord | null
 }
 
@@ -47,9 +48,9 @@
   readonly seed?: number
   readonly failover?: Partial<FailoverOptions>
   readonly place?: Place
-  /** The server that leads at first. */
+  /** The index of the server that leads at the start. */
   readonly primary?: number
-  /** One watcher a zone unless said otherwise. */
+  /** The zone of each watcher; by default one watcher in each zone. */
   readonly watcherZones?: readonly string[]
   /** Extra delay of replication by server index, in milliseconds. */
   readonly lag?: readonly number[]
@@ -62,14 +63,14 @@
   readonly servers: readonly FakeBackendServer[]
   readonly nodes: readonly WatcherNode[]
   readonly events: FailoverEvent[] = []
-  /** Sees each effect first; false swallows it. */
+  /** Called with each effect before it is executed; false drops the effect. */
   intercept: (host: number, effect: FailoverEffect) => boolean = () => true
-  /** Sees each message before its host does. */
+  /** Called with each message before its host handles it. */
   observeMessage: (host: number, message: FailoverMessage) => void = () => undefined
   lag: number[]
-  /** What waits for the one control connection of a host to a server, while it is in use. */
+  /** Calls that wait for the single control connection from a host to a server; absent while idle. */
   readonly #queuedCalls = new Map<string, (() => void)[]>()
-  #listed: readonly ListedBackendServer[]
+  #listedServers: readonly ListedBackendServer[]
   readonly #options: SimulationOptions
 
   constructor(options: SimulationOptions = {}) {
@@ -78,7 +79,9 @@
     this.lag = [...(options.lag ?? [0, 0, 0])]
     const { zones } = this.network.place
     this.servers = zones.map((zone, index) => makeServer(this.network, zone, index))
-    this.#listed = this.servers.map((server, index) => this.#listServer(server, zones[index] ?? ''))
+    this.#listedServers = this.servers.map((server, index) =>
+      this.#createListedServer(server, zones[index] ?? ''),
+    )
     this.#setFirstPrimary()
     this.nodes = (options.watcherZones ?? zones).map((zone, index) => this.#makeNode(zone, index))
     const hosts = this.nodes.map(node => node.watcher.entryHost)
@@ -126,7 +129,7 @@
     return leading.sort((left, right) => right.lastTerm - left.lastTerm)[0] ?? null
   }
 
-  /** Ends a host or a server; watchers see their connections to a server break. */
+  /** Kills a host or a server; the watchers' connections to a killed server break. */
   kill(name: string): void {
     this.network.kill(name)
     const server = this.servers.find(each => each.id === name)
@@ -140,29 +143,29 @@
   }
 
   setLeaving(...indexes: readonly number[]): void {
-    this.#listed = this.#listed.map((server, place) =>
+    this.#listedServers = this.#listedServers.map((server, place) =>
       indexes.includes(place) ? { ...server, state: 'leaving' } : server,
     )
     this.nodes.forEach((_, host) => {
-      this.send(host, { kind: 'backendServers', servers: this.#listed })
+      this.send(host, { kind: 'backendServers', servers: this.#listedServers })
     })
   }
 
-  /** The host list loses every other server's line. */
+  /** Reduces the host list to the lines of the given servers. */
   listOnly(...indexes: readonly number[]): void {
-    const servers = this.#listed.filter((_, place) => indexes.includes(place))
+    const servers = this.#listedServers.filter((_, place) => indexes.includes(place))
     this.nodes.forEach((_, host) => {
       this.send(host, { kind: 'backendServers', servers })
     })
   }
 
-  /** Names the watchers, and tells them and one that no longer is. */
+  /** Sets the watchers and sends the list to them and to one former watcher. */
   setWatchers(indexes: readonly number[], former: number): void {
     const watchers = indexes.map(index => this.node(index).watcher)
     for (const index of [...indexes, former]) this.send(index, { kind: 'watchers', watchers })
   }
 
-  /** A new life of the host: the machine starts with nothing. */
+  /** Starts a new incarnation of the host: its machine loses all state. */
   restart(index: number): void {
     const node = this.node(index)
     node.core = this.#makeCore(node.watcher, index + 100)
@@ -182,19 +185,19 @@
     })
   }
 
-  /** The longest time since `from` in which no host's write was acknowledged. */
+  /** The longest time since `from` without an acknowledged write of any host. */
   gapSince(from: number): number {
     return this.writers.gapSince(from)
   }
 
-  /** The same of the host that waited longest, of those that are up and reachable. */
+  /** The longest such time of a single host, among those that are up and reachable. */
   longestHostGapSince(from: number): number {
     const hosts = this.nodes.map(node => node.watcher.entryHost)
     const up = hosts.filter(host => !this.network.isOut(host))
     return Math.max(...up.map(host => this.writers.gapSince(from, host)))
   }
 
-  /** Acknowledged writes that the leader's log lacks or holds twice. */
+  /** Acknowledged writes that the leader's log lacks or holds more than once. */
   lostOrDuplicatedWrites(): readonly number[] {
     const held = (this.leader()?.log ?? []).flatMap(record => record.write ?? [])
     const counts = new Map<number, number>()
@@ -204,7 +207,7 @@
       .filter(write => counts.get(write) !== 1)
   }
 
-  /** Whether every live server holds the leader's log and every live host routes to the leader. */
+  /** Whether every live server follows the leader at its term and every live host routes to it. */
   hasConverged(): boolean {
     const leader = this.leader()
     if (leader === null) return false
@@ -262,7 +265,7 @@
     for (const effect of node.core.handle(message, this.clock.now())) {
       if (this.intercept(host, effect)) this.executeEffect(host, effect)
     }
-    if (node.core.known !== null) this.#route(node, node.core.known)
+    if (node.core.knownRecord !== null) this.#route(node, node.core.knownRecord)
     this.#scheduleWake(host)
   }
 
@@ -275,7 +278,7 @@
   #sendInitialMessages(index: number): void {
     const watchers = this.nodes.map(node => node.watcher)
     this.send(index, { kind: 'watchers', watchers })
-    this.send(index, { kind: 'backendServers', servers: this.#listed })
+    this.send(index, { kind: 'backendServers', servers: this.#listedServers })
   }
 
   #route(node: WatcherNode, known: KnownRecord): void {
@@ -293,20 +296,20 @@
     })
   }
 
-  /** Runs an effect, past `intercept`. */
+  /** Executes an effect without calling `intercept`. */
   executeEffect(host: number, effect: FailoverEffect): void {
     switch (effect.kind) {
       case 'askPosition':
         this.#askPosition(host, effect)
         return
       case 'fence':
-        this.#control(host, effect, server => server.fence(effect.term))
+        this.#executeControlCall(host, effect, server => server.fence(effect.term))
         return
       case 'promote':
-        this.#control(host, effect, server => server.promote(effect.term))
+        this.#executeControlCall(host, effect, server => server.promote(effect.term))
         return
       case 'follow':
-        this.#control(host, effect, server => server.follow(effect.term, effect.primary))
+        this.#executeControlCall(host, effect, server => server.follow(effect.term, effect.primary))
         return
       case 'readRecord':
       case 'swapRecord':
@@ -356,7 +359,7 @@
     )
   }
 
-  #control(
+  #executeControlCall(
     host: number,
     effect: Extract<FailoverEffect, { kind: 'fence' | 'promote' | 'follow' }>,
     run: (server: FakeBackendServer) => ControlReply,
@@ -425,7 +428,7 @@
     })
   }
 
-  /** Runs now, or when those before it on the connection are answered. */
+  /** Runs now, or once the earlier calls on the connection are answered. */
   #whenFree(link: string, run: () => void): void {
     const waiting = this.#queuedCalls.get(link)
     if (waiting !== undefined) {
@@ -465,7 +468,7 @@
     })
   }
 
-  /** Proxies write by the record they route by, and hold writes in every phase but one. */
+  /** The primary to which the host's proxies write; they hold writes in every phase but `stable`. */
   #primaryOf(host: number): BackendServerId | null {
     const record = this.node(host).routed?.record
     const isUp =
@@ -480,7 +483,7 @@
     primary.role = 'primary'
   }
 
-  #listServer(server: FakeBackendServer, zone: string): ListedBackendServer {
+  #createListedServer(server: FakeBackendServer, zone: string): ListedBackendServer {
     return {
       kind: 'backendServer',
       id: server.id,
--- a/packages/coordination/__tests__/failoverStore.spec.ts
+++ b/packages/coordination/__tests__/failoverStore.spec.ts
@@ -8,14 +8,15 @@
 } from './failoverScenario.js'
 import { FailoverSimulation } from './failoverSimulation.js'
 
-describe('FailoverCore does not wait for the store', () => {
+describe('FailoverCore', () => {
   /*
-   * The store is down or slow while a primary fails, and callers wait as long as the store does;
-   * or the store comes back with the old record, and hosts route to the replaced primary.
+   * The primary fails while the store is down or slow. Guards against callers that wait until the
+   * store answers, and against hosts that route to the replaced primary because the store comes back
+   * with the old record.
    */
   const scenarios: readonly Scenario[] = [
     {
-      name: 'down for good before the primary fails',
+      name: 'replaces the primary when the store is down before the failure and stays down',
       act: simulation => {
         simulation.store.state = 'down'
         simulation.runFor(1_000)
@@ -24,7 +25,7 @@
       gapBelow: 250,
     },
     {
-      name: 'down before the failure and up again after it',
+      name: 'replaces the primary when the store is down before the failure and up again after it',
       act: simulation => {
         simulation.store.state = 'down'
         simulation.kill('server-0')
@@ -34,7 +35,7 @@
       gapBelow: 250,
     },
     {
-      name: 'down from the middle of the change',
+      name: 'replaces the primary when the store goes down during the change',
       act: simulation => {
         simulation.kill('server-0')
         simulation.runFor(65)
@@ -45,7 +46,7 @@
       gapBelow: 250,
     },
     {
-      name: 'slow by half a second',
+      name: 'replaces the primary when the store is slow by half a second',
       act: simulation => {
         simulation.store.delay = 500
         simulation.kill('server-0')
@@ -53,7 +54,7 @@
       gapBelow: 250,
     },
     {
-      name: 'takes changes and loses its answers',
+      name: 'replaces the primary when the store applies changes and its answers are lost',
       act: simulation => {
         simulation.store.state = 'answersLost'
         simulation.kill('server-0')
@@ -72,7 +73,7 @@
     })
   }
 
-  test('its coordinator is gone when it comes back: another brings the record', () => {
+  test('stores the record by another watcher when the coordinator is killed before the store is back', () => {
     const simulation = new FailoverSimulation()
     simulation.runFor(WARM_UP_MILLISECONDS)
     simulation.store.state = 'down'
@@ -86,7 +87,7 @@
     expect(simulation.store.stored.record?.primary).toEqual(simulation.leader()?.id ?? null)
   })
 
-  test('every host is replaced while the store is down: the leader itself is found', () => {
+  test('finds the leader by its own report when every host restarts while the store is down', () => {
     const simulation = new FailoverSimulation()
     simulation.runFor(WARM_UP_MILLISECONDS)
     simulation.store.state = 'down'
@@ -96,7 +97,7 @@
     for (const host of [0, 1, 2]) simulation.restart(host)
     simulation.runFor(5_000)
     expect(simulation.leader()).toEqual(leader)
-    expect(simulation.node(1).core.known?.record.primary).toEqual(leader?.id ?? null)
+    expect(simulation.node(1).core.knownRecord?.record.primary).toEqual(leader?.id ?? null)
     simulation.store.state = 'up'
     simulation.runFor(10_000)
     expect(simulation.store.stored.record?.primary).toEqual(leader?.id ?? null)
@@ -104,7 +105,7 @@
     expect(simulation.hasConverged()).toEqual(true)
   })
 
-  test('a new database gets its first primary and record', () => {
+  test('gives a new database its first primary and record', () => {
     const simulation = new FailoverSimulation()
     simulation.store.stored = { record: null, revision: 0 }
     simulation.server(0).role = 'replica'
--- a/packages/coordination/__tests__/fakeBackendServer.ts
+++ b/packages/coordination/__tests__/fakeBackendServer.ts
@@ -1,10 +1,10 @@
-/** A backend server at the failover machine's interface: a log, a term, a source. No sockets. */
+/** A backend server reduced to what the failover machine sees: log, fenced term, role and source. */
 import { logPosition, type BackendServerId, type Term } from '@nutmegcourse/shared'
 import type { PositionReport } from '@nutmegcourse/protocol'
 
 export interface LogRecord {
   readonly term: number
-  /** Null for the record that opens a term. */
+  /** Null for the record that starts a term. */
   readonly write: number | null
 }
 
@@ -20,7 +20,7 @@
 
 export class FakeBackendServer {
   readonly id: BackendServerId
-  /** Appended to in place; a discarded tail leaves the old array to those that were sent it. */
+  /** Appended to in place; discarding a tail creates a new array, as replicas may share the old one. */
   log: LogRecord[]
   fencedTerm: number
   role: 'primary' | 'replica' = 'replica'
@@ -56,8 +56,8 @@
 
   promote(term: number): ControlReply {
     if (this.fencedTerm !== term) return { kind: 'staleTerm' }
-    const leadsAlready = this.role === 'primary' && this.lastTerm === term
-    if (!leadsAlready) {
+    const isAlreadyPrimary = this.role === 'primary' && this.lastTerm === term
+    if (!isAlreadyPrimary) {
       this.role = 'primary'
       this.source = null
       this.log.push({ term, write: null })
@@ -73,20 +73,20 @@
     return { kind: 'report', report: this.report() }
   }
 
-  /** Runs a write, not yet held by anyone else. False when this server may not write. */
+  /** Appends a write to this server's log only; returns false if this server may not write. */
   write(write: number): boolean {
     if (!this.leads) return false
     this.log.push({ term: this.lastTerm, write })
     return true
   }
 
-  /** Takes what its source sent, at the source's term; discards what the source lacks. */
+  /** Adopts the log and term sent by its source; discards records that the source lacks. */
   replicate(from: BackendServerId, sent: SentLog): void {
     if (this.role !== 'replica' || this.source !== from || sent.term < this.fencedTerm) return
     let shared = Math.min(this.log.length, sent.length)
     while (shared > 0 && this.log[shared - 1] !== sent.log[shared - 1]) shared -= 1
-    const isOld = shared === sent.length && this.lastTerm === sent.term
-    if (isOld) return
+    const isUpToDate = shared === sent.length && this.lastTerm === sent.term
+    if (isUpToDate) return
     this.fencedTerm = sent.term
     if (shared < this.log.length) this.log = this.log.slice(0, shared)
     for (const record of sent.log.slice(shared, sent.length)) this.log.push(record)
--- a/packages/coordination/__tests__/fakeRecordStore.ts
+++ b/packages/coordination/__tests__/fakeRecordStore.ts
@@ -1,4 +1,4 @@
-/** The store at the failover machine's interface: one record under compare-and-swap. */
+/** The store reduced to what the failover machine sees: one record with compare-and-swap. */
 import type { GroupRecord } from '@nutmegcourse/protocol'
 import type { FailoverEffect, StoreOutcome } from '@nutmegcourse/coordination'
 
@@ -16,7 +16,7 @@
   stored: { record: GroupRecord | null; revision: number }
   readonly #network: VirtualNetwork
   readonly #watchers: readonly string[]
-  /** Called at each watcher when the record changed. */
+  /** Called for each watcher when the record has changed. */
   readonly #changed: (watcher: number, record: GroupRecord, revision: number) => void
 
   constructor(
--- a/packages/coordination/__tests__/majorityWriters.ts
+++ b/packages/coordination/__tests__/majorityWriters.ts
@@ -1,4 +1,4 @@
-/** A proxy on each host that writes to the primary it knows and acknowledges by a majority. */
+/** Simulates a proxy on each host, which writes to its known primary and acknowledges by a majority. */
 import type { BackendServerId, LogPosition, Milliseconds } from '@nutmegcourse/shared'
 
 import type { FakeBackendServer } from './fakeBackendServer.js'
@@ -27,7 +27,7 @@
   readonly #network: VirtualNetwork
   readonly #servers: readonly FakeBackendServer[]
   readonly #hosts: readonly string[]
-  /** Where a host's proxies send writes; null while they hold them. */
+  /** The server to which a host's proxies send writes; null while they hold writes. */
   readonly #primaryOf: (host: number) => BackendServerId | null
   readonly #acknowledgedWrites = new Set<number>()
   #lastWrite = 0
@@ -45,7 +45,7 @@
     this.#scheduleWrites()
   }
 
-  /** The longest time since `from` in which no write was acknowledged, of one host or of all. */
+  /** The longest time since `from` without an acknowledged write, of one host or of all. */
   gapSince(from: number, host?: string): number {
     const entries = this.acknowledged.filter(entry => host === undefined || entry.host === host)
     const times = entries.map(entry => entry.at).filter(at => at >= from)
@@ -74,10 +74,10 @@
     })
   }
 
-  /** Asks the others again until one more holds the write. */
+  /** Polls the other servers until one more holds the write or the confirmation times out. */
   #confirm(run: PendingWrite): void {
     for (const server of this.#servers) {
-      if (server !== run.primary) this.#askFor(run, server)
+      if (server !== run.primary) this.#pollServer(run, server)
     }
     if (this.#network.now - run.ranAt > CONFIRMATION_TIMEOUT_MILLISECONDS) return
     this.#network.schedule(POLL_INTERVAL_MILLISECONDS, () => {
@@ -85,21 +85,21 @@
     })
   }
 
-  #askFor(run: PendingWrite, server: FakeBackendServer): void {
+  #pollServer(run: PendingWrite, server: FakeBackendServer): void {
     const { host, position, write } = run
     this.#network.pass(host, server.id, () => {
       if (this.#network.isDead(server.id)) return
       const report = server.report()
       const isSameTerm = report.position.term === position.term
-      const isUnpromised = report.fencedTerm <= position.term
-      if (!isSameTerm || !isUnpromised || report.position.offset < position.offset) return
+      const isNotFenced = report.fencedTerm <= position.term
+      if (!isSameTerm || !isNotFenced || report.position.offset < position.offset) return
       this.#network.pass(server.id, host, () => {
         this.#acknowledge(write, host)
       })
     })
   }
 
-  /** The primary and one more of three are a majority. */
+  /** The primary and one more server form a majority of three. */
   #acknowledge(write: number, host: string): void {
     if (this.#acknowledgedWrites.has(write)) return
     this.#acknowledgedWrites.add(write)
--- a/packages/coordination/src/failoverCore.ts
+++ b/packages/coordination/src/failoverCore.ts
@@ -79,7 +79,7 @@
   }
 
   /** The newest record known to this watcher; proxies route by it. */
-  get known(): KnownRecord | null {
+  get knownRecord(): KnownRecord | null {
     return this.#context.records.known
   }
 
@@ -171,8 +171,8 @@
   #detectStall(now: Milliseconds): void {
     const last = this.#lastHandledAt
     this.#lastHandledAt = now
-    const longest = this.#context.options.watchIntervalMilliseconds * STALL_INTERVALS
-    if (last !== null && now - last > longest) this.#context.group.resetSilence(now)
+    const stallMilliseconds = this.#context.options.watchIntervalMilliseconds * STALL_INTERVALS
+    if (last !== null && now - last > stallMilliseconds) this.#context.group.resetSilence(now)
   }
 
   #recordChanged(record: GroupRecord, now: Milliseconds): void {
--- a/packages/coordination/src/failoverFollowers.ts
+++ b/packages/coordination/src/failoverFollowers.ts
@@ -20,7 +20,7 @@
 }
 
 interface Follower {
-  /** A follow was sent and not yet answered; it is repeated until it is. */
+  /** A `follow` call was sent and is not answered yet; it is repeated until it is answered. */
   isFollowPending: boolean
   /** Its process was restarted; the new one does not replicate until it receives a `follow` call. */
   hasRestarted: boolean
--- a/packages/coordination/src/failoverGroup.ts
+++ b/packages/coordination/src/failoverGroup.ts
@@ -158,16 +158,16 @@
    * `moveLagMilliseconds` ago; otherwise writes would wait too long for it to catch up.
    */
   findMoveTarget(primary: ListedBackendServer, now: Milliseconds): BackendServerId | null {
-    const able = this.#servers.filter(
+    const eligible = this.#servers.filter(
       server =>
         server.id !== primary.id && server.state === 'live' && this.#isCloseBehind(server.id, now),
     )
-    const byPlace = [
-      able.find(server => server.zone === primary.zone),
-      able.find(server => server.region === primary.region),
-      able[0],
+    const byPreference = [
+      eligible.find(server => server.zone === primary.zone),
+      eligible.find(server => server.region === primary.region),
+      eligible[0],
     ]
-    return byPlace.find(server => server !== undefined)?.id ?? null
+    return byPreference.find(server => server !== undefined)?.id ?? null
   }
 
   nextWake(now: Milliseconds): Milliseconds | null {
--- a/packages/coordination/src/failoverLeaderSearch.ts
+++ b/packages/coordination/src/failoverLeaderSearch.ts
@@ -39,19 +39,19 @@
     return this.#createRecord(leader.server, leader.term, records.record)
   }
 
-  #isUnrecorded(leading: Term): boolean {
-    const { isStoreEmpty, record, isStoreResponding: storeAnswers } = this.#context.records
+  #isUnrecorded(term: Term): boolean {
+    const { isStoreEmpty, record, isStoreResponding } = this.#context.records
     // Until the store answers, it may hold a record; if it fails, the servers' reports decide.
-    if (record === null) return isStoreEmpty || !storeAnswers
-    if (leading !== record.term) return leading > record.term
+    if (record === null) return isStoreEmpty || !isStoreResponding
+    if (term !== record.term) return term > record.term
     return record.phase.kind === 'fencing' || record.phase.kind === 'promoting'
   }
 
-  #adoptionDelay(leading: Term): number {
+  #adoptionDelay(term: Term): number {
     const { agreement, options, records } = this.#context
     const rank = agreement.rank * RANK_DELAY_MILLISECONDS
     if (records.record === null) return rank
-    if (leading === records.record.term) return options.watchIntervalMilliseconds + rank
+    if (term === records.record.term) return options.watchIntervalMilliseconds + rank
     return options.adoptionMilliseconds + rank
   }
 
--- a/packages/coordination/src/failoverMoveController.ts
+++ b/packages/coordination/src/failoverMoveController.ts
@@ -13,17 +13,17 @@
 
 export class FailoverMoveController {
   readonly #context: FailoverContext
-  readonly #changeController: FailoverChangeController
+  readonly #changes: FailoverChangeController
   #move: FailoverMove | null = null
   #possibleSince: Milliseconds | null = null
   #failures = 0
   #retryAt: Milliseconds = milliseconds(0)
   /** By when the store must hold the phase `stable` again after an abandoned move. */
-  #rollbackDeadline: Milliseconds | null = null
+  #rollbackBy: Milliseconds | null = null
 
-  constructor(context: FailoverContext, change: FailoverChangeController) {
+  constructor(context: FailoverContext, changes: FailoverChangeController) {
     this.#context = context
-    this.#changeController = change
+    this.#changes = changes
   }
 
   /** Called when the term or phase of the known record has changed. */
@@ -42,7 +42,7 @@
   }
 
   nextWake(): Milliseconds | null {
-    return this.#move?.nextWake() ?? this.#rollbackDeadline
+    return this.#move?.nextWake() ?? this.#rollbackBy
   }
 
   /** A move is not urgent: it waits for the store and for a target that is close behind. */
@@ -54,7 +54,7 @@
       return
     }
     this.#possibleSince ??= now
-    if (now < this.#retryAt || this.#changeController.isInProgress || !records.isStored) return
+    if (now < this.#retryAt || this.#changes.isInProgress || !records.isStored) return
     if (!records.isStoreResponding || agreement.agreedSince(now) !== null) return
     if (now - this.#possibleSince < agreement.rank * RANK_DELAY_MILLISECONDS) return
     this.#start(plan, now)
@@ -87,8 +87,8 @@
   }
 
   #noteRolledBack(): void {
-    if (this.#rollbackDeadline !== null) this.#announceKnownRecord()
-    this.#rollbackDeadline = null
+    if (this.#rollbackBy !== null) this.#announceKnownRecord()
+    this.#rollbackBy = null
   }
 
   #announceKnownRecord(): void {
@@ -97,20 +97,20 @@
   }
 
   #advanceMove(move: FailoverMove, now: Milliseconds): void {
-    const verdict = move.advance(now)
-    switch (verdict.kind) {
+    const status = move.advance(now)
+    switch (status.kind) {
       case 'wait':
         return
       case 'ready':
         this.#move = null
         this.#failures = 0
-        this.#changeController.start(`${move.plan.primary} is leaving`, move.plan, now)
+        this.#changes.start(`${move.plan.primary} is leaving`, move.plan, now)
         return
       case 'abandoned':
-        this.#abandon(move, verdict.detail, now)
+        this.#abandon(move, status.detail, now)
         return
       default:
-        assertNever(verdict)
+        assertNever(status)
     }
   }
 
@@ -125,7 +125,7 @@
       MAX_RETRY_FACTOR,
     )
     this.#retryAt = addMilliseconds(now, wait)
-    this.#rollbackDeadline = addMilliseconds(now, options.callTimeoutMilliseconds)
+    this.#rollbackBy = addMilliseconds(now, options.callTimeoutMilliseconds)
     eventLog.append('moveAbandoned', record.term, detail, now)
     records.propose({ ...record, phase: { kind: 'stable' } }, now)
   }
@@ -135,18 +135,9 @@
    * in time, a change of primary at a new term, which does not wait for the store, lets them resume.
    */
   #enforceRollback(now: Milliseconds): void {
-    if (
-      this.#rollbackDeadline === null ||
-      now < this.#rollbackDeadline ||
-      this.#changeController.isInProgress
-    )
-      return
-    this.#rollbackDeadline = null
+    if (this.#rollbackBy === null || now < this.#rollbackBy || this.#changes.isInProgress) return
+    this.#rollbackBy = null
     if (this.#context.records.record?.phase.kind !== 'moving') return
-    this.#changeController.start(
-      'a planned move was abandoned and the store does not answer',
-      null,
-      now,
-    )
+    this.#changes.start('a planned move was abandoned and the store does not answer', null, now)
   }
 }
--- a/packages/coordination/src/failoverRecordStoreClient.ts
+++ b/packages/coordination/src/failoverRecordStoreClient.ts
@@ -77,7 +77,7 @@
     this.advance(now)
   }
 
-  /** Discards the pending record, for example when a newer term is known. */
+  /** Discards the pending record; called when a newer term is known. */
   cancelWrite(): void {
     this.#pendingRecord = null
   }
--- a/packages/coordination/src/failoverRecordTracker.ts
+++ b/packages/coordination/src/failoverRecordTracker.ts
@@ -124,7 +124,7 @@
       return
     }
     this.#known = candidate
-    // The same step at a greater revision has been read from the store.
+    // A greater revision of the same step shows that the store holds it.
     this.#storeCheckAt = null
   }
 
@@ -133,8 +133,8 @@
     this.#changedAt = now
     const delay = this.#options.storeCheckMilliseconds * (1 + rank)
     this.#storeCheckAt = addMilliseconds(now, delay)
-    const { pendingRecord: wanted } = this.#store
-    if (wanted !== null && wanted.term < known.record.term) this.#store.cancelWrite()
+    const { pendingRecord } = this.#store
+    if (pendingRecord !== null && pendingRecord.term < known.record.term) this.#store.cancelWrite()
     this.#onChanged(known.record, now)
   }
 
--- a/packages/coordination/src/failoverServerWatch.ts
+++ b/packages/coordination/src/failoverServerWatch.ts
@@ -20,7 +20,7 @@
 /** Between two position requests to a server on whose position a step waits. */
 const FAST_POLL_INTERVAL_MILLISECONDS = 5
 /** The time within which the other watchers' opinions of a suspected primary should arrive. */
-const DECISION_MILLISECONDS = 150
+const OPINION_WAIT_MILLISECONDS = 150
 /** Added to a request's own timeout, within which the caller should have reported the failure. */
 const POLL_TIMEOUT_MARGIN_MILLISECONDS = 200
 
@@ -87,8 +87,8 @@
   #delayAfter(failure: ControlFailure, brokeBefore: boolean): number {
     if (failure === 'lost' && !brokeBefore) return 0
     const { refusalRetryMilliseconds, refusalsToSuspect, watchIntervalMilliseconds } = this.#options
-    const isSettled = this.#refusals >= refusalsToSuspect
-    return isSettled ? watchIntervalMilliseconds : refusalRetryMilliseconds
+    const isProcessGone = this.#refusals >= refusalsToSuspect
+    return isProcessGone ? watchIntervalMilliseconds : refusalRetryMilliseconds
   }
 
   /** Sends a position request if one is due. */
@@ -129,9 +129,9 @@
     if (this.#unansweredSince === null) return false
     const age = now - this.#unansweredSince
     const { detectionMilliseconds } = this.#options
-    if (this.#connectionBroke || this.#refusals > 0) return age < DECISION_MILLISECONDS
+    if (this.#connectionBroke || this.#refusals > 0) return age < OPINION_WAIT_MILLISECONDS
     const isLate = age >= detectionMilliseconds / 2
-    return isLate && age < detectionMilliseconds + DECISION_MILLISECONDS
+    return isLate && age < detectionMilliseconds + OPINION_WAIT_MILLISECONDS
   }
 
   isReachable(now: Milliseconds): boolean {
@@ -139,10 +139,10 @@
   }
 
   nextWake(now: Milliseconds): Milliseconds {
-    const question = this.#pollDueAt()
-    if (this.#unansweredSince === null || this.isUnresponsive(now)) return question
-    const silentAt = this.#unansweredSince + this.#options.detectionMilliseconds
-    return milliseconds(Math.min(question, silentAt))
+    const nextPoll = this.#pollDueAt()
+    if (this.#unansweredSince === null || this.isUnresponsive(now)) return nextPoll
+    const unresponsiveAt = this.#unansweredSince + this.#options.detectionMilliseconds
+    return milliseconds(Math.min(nextPoll, unresponsiveAt))
   }
 
   #pollDueAt(): Milliseconds {
