--- a/packages/coordination/__tests__/failoverHealthy.spec.ts
+++ b/packages/coordination/__tests__/failoverHealthy.spec.ts
@@ -72,8 +72,8 @@
   /*
    * A replica is killed and restarted, and shortly afterwards another server fails. Guards against
    * callers that wait for seconds although two servers are running: a restarted replica does not
-   * replicate until it receives `follow`, which used to be sent only after a long time without
-   * progress. It must be sent as soon as the restarted process answers.
+   * replicate until it receives `follow`, so that must be sent as soon as its process answers again
+   * and not only after a long time without progress.
    */
   test('makes a restarted replica follow again at once', () => {
     const simulation = new FailoverSimulation()
--- a/packages/coordination/__tests__/majorityWriters.ts
+++ b/packages/coordination/__tests__/majorityWriters.ts
@@ -75,24 +75,24 @@
   }
 
   /** Polls the other servers until one more holds the write or the confirmation times out. */
-  #confirm(run: PendingWrite): void {
+  #confirm(pending: PendingWrite): void {
     for (const server of this.#servers) {
-      if (server !== run.primary) this.#pollServer(run, server)
+      if (server !== pending.primary) this.#pollServer(pending, server)
     }
-    if (this.#network.now - run.ranAt > CONFIRMATION_TIMEOUT_MILLISECONDS) return
+    if (this.#network.now - pending.ranAt > CONFIRMATION_TIMEOUT_MILLISECONDS) return
     this.#network.schedule(POLL_INTERVAL_MILLISECONDS, () => {
-      if (!this.#acknowledgedWrites.has(run.write)) this.#confirm(run)
+      if (!this.#acknowledgedWrites.has(pending.write)) this.#confirm(pending)
     })
   }
 
-  #pollServer(run: PendingWrite, server: FakeBackendServer): void {
-    const { host, position, write } = run
+  #pollServer(pending: PendingWrite, server: FakeBackendServer): void {
+    const { host, position, write } = pending
     this.#network.pass(host, server.id, () => {
       if (this.#network.isDead(server.id)) return
       const report = server.report()
       const isSameTerm = report.position.term === position.term
-      const isNotFenced = report.fencedTerm <= position.term
-      if (!isSameTerm || !isNotFenced || report.position.offset < position.offset) return
+      const isNotFencedAbove = report.fencedTerm <= position.term
+      if (!isSameTerm || !isNotFencedAbove || report.position.offset < position.offset) return
       this.#network.pass(server.id, host, () => {
         this.#acknowledge(write, host)
       })
--- a/packages/coordination/src/failoverAttempt.ts
+++ b/packages/coordination/src/failoverAttempt.ts
@@ -111,7 +111,7 @@
     if (pending.step === 'promote' && failure === 'refused') {
       return {
         kind: 'failed',
-        detail: `${pending.server} refused connections before it was promoted`,
+        detail: `${pending.server} refused the connection before its promotion`,
       }
     }
     const wait = failure === 'timeout' ? 0 : this.#options.callRetryMilliseconds
