--- a/packages/coordination/src/failoverAttempt.ts
+++ b/packages/coordination/src/failoverAttempt.ts
@@ -5,8 +5,8 @@
  * Safety depends on the backend servers alone. The term belongs to this attempt only. A server that
  * is fenced at a term promises it, as an acceptor promises a Paxos ballot, and can be promoted only
  * while that is the newest term it has promised. A coordinator that was frozen between two steps
- * therefore finds its term refused, and two concurrent coordinators cannot both promote once a
- * majority has answered the later one.
+ * therefore finds its term refused. Once a majority is fenced at the later of two concurrent
+ * attempts, a primary that the earlier one still promotes cannot have writes confirmed by a majority.
  */
 import {
   addMilliseconds,
