--- a/packages/coordination/__tests__/failoverCoordinator.spec.ts
+++ b/packages/coordination/__tests__/failoverCoordinator.spec.ts
@@ -1,12 +1,13 @@
 import { describe, test } from 'node:test'
 import { expect } from 'earl'
 import type { FailoverEffect } from '@nutmegcourse/coordination'
-import { isAnnounced, isSwapped, play } from './failoverStory.js'
+import { isAnnounced, isSwapped, runScenario } from './failoverScenario.js'
 
-describe('FailoverCore outlives its coordinator', () => {
+describe('FailoverCore', () => {
   /*
-   * The primary fails, the host that replaces it stops between two steps, and callers wait for
-   * ever; or it wakes later, goes on with its outdated change, and two primaries take writes.
+   * The primary fails and the coordinator of its replacement stops between two steps. Guards against
+   * callers that wait for ever, and against two primaries that accept writes because the coordinator
+   * resumes later and continues its outdated change.
    */
   const steps: readonly {
     readonly name: string
@@ -28,24 +29,24 @@
   ] as const
   for (const step of steps) {
     for (const { ending, carriesOut, stop } of endings) {
-      test(`${ending} ${step.name}`, () => {
-        play({
+      test(`completes the change when its coordinator is ${ending} ${step.name}`, () => {
+        runScenario({
           name: step.name,
-          act: world => {
+          act: simulation => {
             const stopped: string[] = []
-            world.intercept = (host, effect) => {
-              const name = world.hostName(host)
+            simulation.intercept = (host, effect) => {
+              const name = simulation.hostName(host)
               if (stopped.includes(name)) return stop === 'freeze'
               if (stopped.length > 0 || !step.is(effect)) return true
               stopped.push(name)
-              if (stop === 'kill') world.kill(name)
-              else world.network.freeze(name)
+              if (stop === 'kill') simulation.kill(name)
+              else simulation.network.freeze(name)
               return carriesOut
             }
-            world.kill('server-0')
-            world.runFor(3_000)
+            simulation.kill('server-0')
+            simulation.runFor(3_000)
             expect(stopped.length).toEqual(1)
-            for (const name of stopped) if (stop === 'freeze') world.network.thaw(name)
+            for (const name of stopped) if (stop === 'freeze') simulation.network.thaw(name)
           },
           gapBelow: 1_500,
         })
--- a/packages/coordination/__tests__/failoverMove.spec.ts
+++ b/packages/coordination/__tests__/failoverMove.spec.ts
@@ -2,16 +2,16 @@
 import { expect } from 'earl'
 import type { FailoverEffect } from '@nutmegcourse/coordination'
 
-import { FailoverWorld, type WorldOptions } from './failoverWorld.js'
+import { FailoverSimulation, type SimulationOptions } from './failoverSimulation.js'
 
-const SETTLE_MILLISECONDS = 1_000
+const WARM_UP_MILLISECONDS = 1_000
 
-interface Story {
+interface MoveScenario {
   readonly name: string
-  readonly options?: WorldOptions
-  readonly act: (world: FailoverWorld) => void
-  /** Virtual milliseconds from the operators' drain on. */
-  readonly span?: number
+  readonly options?: SimulationOptions
+  readonly act: (simulation: FailoverSimulation) => void
+  /** How long the simulation runs after `act`, in virtual milliseconds. */
+  readonly runMilliseconds?: number
   readonly gapBelow: number
   readonly leader: string
   readonly steps: readonly string[]
@@ -20,92 +20,93 @@
 const isMovingAnnounced = (effect: FailoverEffect): boolean =>
   effect.kind === 'announce' && effect.record.phase.kind === 'moving'
 
-/** Runs `act` when proxies are first told to hold their writes. */
-function whenMoving(world: FailoverWorld, act: (host: string) => void): void {
+/** Runs `act` when the phase `moving`, in which proxies hold writes, is first announced. */
+function whenMoving(simulation: FailoverSimulation, act: (host: string) => void): void {
   let isDone = false
-  world.intercept = (host, effect) => {
+  simulation.intercept = (host, effect) => {
     if (isDone || !isMovingAnnounced(effect)) return true
     isDone = true
-    act(world.hostName(host))
+    act(simulation.hostName(host))
     return true
   }
 }
 
-describe('FailoverCore moves the role of a leaving primary', () => {
+describe('FailoverCore', () => {
   /*
-   * Operators drain a backend server. Writes under way are lost or stop for seconds, or the move
-   * hangs and holds every write because its target, its coordinator or the store has gone.
+   * Operators drain the primary's backend server. Guards against writes in flight that are lost or
+   * stop for seconds, and against a move that hangs and holds every write because its target, its
+   * coordinator or the store has failed.
    */
-  const stories: readonly Story[] = [
+  const scenarios: readonly MoveScenario[] = [
     {
-      name: 'to the server of its region that has caught up',
+      name: 'moves the primary role to the server in its region that has caught up',
       act: () => undefined,
       gapBelow: 150,
       leader: 'server-1',
       steps: ['moveStarted', 'completed'],
     },
     {
-      name: 'past a replica that is far behind',
+      name: 'moves the primary role to another region when the replica in its region is far behind',
       options: { lag: [0, 2_000, 0] },
-      act: world => {
-        world.runFor(5_000)
-        world.lag[1] = 0
+      act: simulation => {
+        simulation.runFor(5_000)
+        simulation.lag[1] = 0
       },
       gapBelow: 300,
       leader: 'server-2',
       steps: ['moveStarted', 'completed'],
     },
     {
-      name: 'only once a replica has caught up',
+      name: 'moves the primary role only once a replica has caught up',
       options: { lag: [0, 400, 400], failover: { moveLagMilliseconds: 250 } },
-      act: world => {
-        world.runFor(3_000)
-        expect(world.steps().includes('moveStarted')).toEqual(false)
-        world.lag = [0, 0, 0]
+      act: simulation => {
+        simulation.runFor(3_000)
+        expect(simulation.steps().includes('moveStarted')).toEqual(false)
+        simulation.lag = [0, 0, 0]
       },
       gapBelow: 500,
       leader: 'server-1',
       steps: ['moveStarted', 'completed'],
     },
     {
-      name: 'while the store is slow by half a second',
-      act: world => {
-        world.store.delay = 500
+      name: 'moves the primary role while the store is slow by half a second',
+      act: simulation => {
+        simulation.store.delay = 500
       },
       gapBelow: 150,
       leader: 'server-1',
       steps: ['moveStarted', 'completed'],
     },
     {
-      name: 'once a store that was down answers again',
-      act: world => {
-        world.store.state = 'down'
-        world.runFor(5_000)
-        expect(world.leader()?.id as string).toEqual('server-0')
-        world.store.state = 'up'
+      name: 'moves the primary role once a store that was down answers again',
+      act: simulation => {
+        simulation.store.state = 'down'
+        simulation.runFor(5_000)
+        expect(simulation.leader()?.id as string).toEqual('server-0')
+        simulation.store.state = 'up'
       },
-      span: 15_000,
+      runMilliseconds: 15_000,
       gapBelow: 150,
       leader: 'server-1',
       steps: ['moveStarted', 'completed'],
     },
     {
-      name: 'to another server when the target dies in the move',
-      act: world => {
-        whenMoving(world, () => {
-          world.kill('server-1')
+      name: 'moves the primary role to another server when the target is killed during the move',
+      act: simulation => {
+        whenMoving(simulation, () => {
+          simulation.kill('server-1')
         })
       },
-      span: 20_000,
+      runMilliseconds: 20_000,
       gapBelow: 700,
       leader: 'server-2',
       steps: ['moveStarted', 'moveAbandoned', 'moveStarted', 'completed'],
     },
     {
-      name: 'when the primary dies in the move',
-      act: world => {
-        whenMoving(world, () => {
-          world.kill('server-0')
+      name: 'completes the move when the primary is killed during it',
+      act: simulation => {
+        whenMoving(simulation, () => {
+          simulation.kill('server-0')
         })
       },
       gapBelow: 400,
@@ -113,105 +114,105 @@
       steps: ['moveStarted', 'agreed', 'completed'],
     },
     {
-      name: 'when the coordinator dies in the move',
-      act: world => {
-        whenMoving(world, host => {
-          world.kill(host)
+      name: 'completes the move when the coordinator is killed during it',
+      act: simulation => {
+        whenMoving(simulation, host => {
+          simulation.kill(host)
         })
       },
-      span: 20_000,
+      runMilliseconds: 20_000,
       gapBelow: 2_500,
       leader: 'server-1',
       steps: ['moveStarted', 'completed'],
     },
     {
-      name: 'when the coordinator is frozen in the move and wakes after it',
-      act: world => {
-        whenMoving(world, host => {
-          world.network.freeze(host)
-          world.network.schedule(5_000, () => {
-            world.network.thaw(host)
+      name: 'completes the move when the coordinator is frozen during it and thaws afterwards',
+      act: simulation => {
+        whenMoving(simulation, host => {
+          simulation.network.freeze(host)
+          simulation.network.schedule(5_000, () => {
+            simulation.network.thaw(host)
           })
         })
       },
-      span: 20_000,
+      runMilliseconds: 20_000,
       gapBelow: 2_500,
       leader: 'server-1',
       steps: ['moveStarted', 'completed'],
     },
     {
-      name: 'when the store goes down and the target dies in the move',
-      act: world => {
-        whenMoving(world, () => {
-          world.store.state = 'down'
-          world.kill('server-1')
+      name: 'moves the primary role to another server when the store goes down and the target is killed during the move',
+      act: simulation => {
+        whenMoving(simulation, () => {
+          simulation.store.state = 'down'
+          simulation.kill('server-1')
         })
-        world.runFor(5_000)
-        world.store.state = 'up'
+        simulation.runFor(5_000)
+        simulation.store.state = 'up'
       },
-      span: 30_000,
+      runMilliseconds: 30_000,
       gapBelow: 1_200,
       leader: 'server-2',
       steps: ['moveStarted', 'moveAbandoned', 'completed'],
     },
     {
-      name: 'when the answer of the store to the move is lost',
-      act: world => {
-        world.store.state = 'answersLost'
-        world.runFor(2_000)
-        world.store.state = 'up'
+      name: "completes the move when the store's answer to it is lost",
+      act: simulation => {
+        simulation.store.state = 'answersLost'
+        simulation.runFor(2_000)
+        simulation.store.state = 'up'
       },
-      span: 20_000,
+      runMilliseconds: 20_000,
       gapBelow: 300,
       leader: 'server-1',
       steps: ['moveStarted', 'completed'],
     },
   ]
-  for (const story of stories) {
-    test(story.name, () => {
-      const world = new FailoverWorld(story.options)
-      world.runFor(SETTLE_MILLISECONDS)
-      const drainedAt = world.now
-      world.setLeaving(0)
-      story.act(world)
-      world.runFor(story.span ?? 8_000)
-      const isFine =
-        world.converged() &&
-        world.gapSince(drainedAt) < story.gapBelow &&
-        (world.leader()?.id as string) === story.leader
-      if (!isFine) explain(world, drainedAt)
-      expect(world.broken()).toEqual([])
-      expect(world.converged()).toEqual(true)
-      expect(world.leader()?.id as string).toEqual(story.leader)
-      expect(world.gapSince(drainedAt)).toBeLessThan(story.gapBelow)
-      expect(isSubsequence(story.steps, world.steps())).toEqual(true)
+  for (const scenario of scenarios) {
+    test(scenario.name, () => {
+      const simulation = new FailoverSimulation(scenario.options)
+      simulation.runFor(WARM_UP_MILLISECONDS)
+      const drainedAt = simulation.now
+      simulation.setLeaving(0)
+      scenario.act(simulation)
+      simulation.runFor(scenario.runMilliseconds ?? 8_000)
+      const hasPassed =
+        simulation.hasConverged() &&
+        simulation.gapSince(drainedAt) < scenario.gapBelow &&
+        (simulation.leader()?.id as string) === scenario.leader
+      if (!hasPassed) printTrace(simulation, drainedAt)
+      expect(simulation.lostOrDuplicatedWrites()).toEqual([])
+      expect(simulation.hasConverged()).toEqual(true)
+      expect(simulation.leader()?.id as string).toEqual(scenario.leader)
+      expect(simulation.gapSince(drainedAt)).toBeLessThan(scenario.gapBelow)
+      expect(isSubsequence(scenario.steps, simulation.steps())).toEqual(true)
     })
   }
 
-  test('in one change although the replicas are a little behind', () => {
-    const world = new FailoverWorld({ lag: [0, 200, 200] })
-    world.runFor(2_000)
-    world.setLeaving(0)
-    world.runFor(8_000)
-    expect(world.leader()?.id as string).toEqual('server-1')
-    expect(world.steps().filter(step => step === 'termTaken').length).toEqual(1)
-    expect(world.broken()).toEqual([])
+  test('moves the primary role in a single change when the replicas are slightly behind', () => {
+    const simulation = new FailoverSimulation({ lag: [0, 200, 200] })
+    simulation.runFor(2_000)
+    simulation.setLeaving(0)
+    simulation.runFor(8_000)
+    expect(simulation.leader()?.id as string).toEqual('server-1')
+    expect(simulation.steps().filter(step => step === 'termTaken').length).toEqual(1)
+    expect(simulation.lostOrDuplicatedWrites()).toEqual([])
   })
 
-  test('and leaves it there while no other server stays', () => {
-    const world = new FailoverWorld()
-    world.runFor(SETTLE_MILLISECONDS)
-    world.setLeaving(0, 1, 2)
-    world.runFor(5_000)
-    expect(world.leader()?.id as string).toEqual('server-0')
-    expect(world.steps().includes('moveStarted')).toEqual(false)
+  test('does not move the primary role while every server is leaving', () => {
+    const simulation = new FailoverSimulation()
+    simulation.runFor(WARM_UP_MILLISECONDS)
+    simulation.setLeaving(0, 1, 2)
+    simulation.runFor(5_000)
+    expect(simulation.leader()?.id as string).toEqual('server-0')
+    expect(simulation.steps().includes('moveStarted')).toEqual(false)
   })
 })
 
-/** Shown only by a failing test. */
-function explain(world: FailoverWorld, since: number): void {
-  console.log('gap', world.gapSince(since))
-  for (const event of world.events) {
+/** Prints the steps of the simulation; called only when the test is about to fail. */
+function printTrace(simulation: FailoverSimulation, since: number): void {
+  console.log('gap', simulation.gapSince(since))
+  for (const event of simulation.events) {
     console.log((event.at - since).toFixed(1), event.step, event.term, event.detail)
   }
 }
--- a/packages/coordination/__tests__/failoverWorld.ts
+++ b/packages/coordination/__tests__/failoverSimulation.ts
@@ -1,6 +1,7 @@
 /**
- * Several failover machines, fake backend servers and a fake store under a virtual clock, joined
- * by links with a deployment's latencies. Writers acknowledge by a majority, as proxies do.
+ * Simulates several failover machines, fake backend servers and a fake store under a virtual clock,
+ * joined by links with the latencies of a deployment. Writers acknowledge by a majority, as proxies
+ * do.
  */
 import {
   SeededRandom,
@@ -32,53 +33,55 @@
 import { ATLAS_QUAI, VirtualNetwork, type Place } from './virtualNetwork.js'
 
 const DATABASE = databaseId('quai-sched-1')
-/** Between two rounds in which a primary sends its log. */
+/** Between two transmissions of a primary's log. */
 const REPLICATION_INTERVAL_MILLISECONDS = 5
 
 interface WatcherNode {
   readonly watcher: Watcher
   core: FailoverCore
   wakeAt: number | null
-  /** The record that this host's proxies route by. */
+  /** The record by which this host's proxies route. */
   routed: KnownRecord | null
 }
 
-export interface WorldOptions {
+export interface SimulationOptions {
   readonly seed?: number
   readonly failover?: Partial<FailoverOptions>
   readonly place?: Place
-  /** The server that leads at first. */
+  /** The index of the server that leads at the start. */
   readonly primary?: number
-  /** One watcher a zone unless said otherwise. */
+  /** The zone of each watcher; by default one watcher in each zone. */
   readonly watcherZones?: readonly string[]
   /** Extra delay of replication by server index, in milliseconds. */
   readonly lag?: readonly number[]
 }
 
-export class FailoverWorld {
+export class FailoverSimulation {
   readonly network: VirtualNetwork
   readonly store: FakeRecordStore
   readonly writers: MajorityWriters
   readonly servers: readonly FakeBackendServer[]
   readonly nodes: readonly WatcherNode[]
   readonly events: FailoverEvent[] = []
-  /** Sees each effect first; false swallows it. */
+  /** Called with each effect before it is executed; false drops the effect. */
   intercept: (host: number, effect: FailoverEffect) => boolean = () => true
-  /** Sees each message before its host does. */
-  overhear: (host: number, message: FailoverMessage) => void = () => undefined
+  /** Called with each message before its host handles it. */
+  observeMessage: (host: number, message: FailoverMessage) => void = () => undefined
   lag: number[]
-  /** What waits for the one control connection of a host to a server, while it is in use. */
-  readonly #waiting = new Map<string, (() => void)[]>()
-  #listed: readonly ListedBackendServer[]
-  readonly #options: WorldOptions
+  /** Calls that wait for the single control connection from a host to a server; absent while idle. */
+  readonly #queuedCalls = new Map<string, (() => void)[]>()
+  #listedServers: readonly ListedBackendServer[]
+  readonly #options: SimulationOptions
 
-  constructor(options: WorldOptions = {}) {
+  constructor(options: SimulationOptions = {}) {
     this.#options = options
     this.network = new VirtualNetwork(options.place ?? ATLAS_QUAI)
     this.lag = [...(options.lag ?? [0, 0, 0])]
     const { zones } = this.network.place
     this.servers = zones.map((zone, index) => makeServer(this.network, zone, index))
-    this.#listed = this.servers.map((server, index) => this.#listServer(server, zones[index] ?? ''))
+    this.#listedServers = this.servers.map((server, index) =>
+      this.#createListedServer(server, zones[index] ?? ''),
+    )
     this.#setFirstPrimary()
     this.nodes = (options.watcherZones ?? zones).map((zone, index) => this.#makeNode(zone, index))
     const hosts = this.nodes.map(node => node.watcher.entryHost)
@@ -126,7 +129,7 @@
     return leading.sort((left, right) => right.lastTerm - left.lastTerm)[0] ?? null
   }
 
-  /** Ends a host or a server; watchers see their connections to a server break. */
+  /** Kills a host or a server; the watchers' connections to a killed server break. */
   kill(name: string): void {
     this.network.kill(name)
     const server = this.servers.find(each => each.id === name)
@@ -140,34 +143,34 @@
   }
 
   setLeaving(...indexes: readonly number[]): void {
-    this.#listed = this.#listed.map((server, place) =>
+    this.#listedServers = this.#listedServers.map((server, place) =>
       indexes.includes(place) ? { ...server, state: 'leaving' } : server,
     )
     this.nodes.forEach((_, host) => {
-      this.send(host, { kind: 'backendServers', servers: this.#listed })
+      this.send(host, { kind: 'backendServers', servers: this.#listedServers })
     })
   }
 
-  /** The host list loses every other server's line. */
+  /** Reduces the host list to the lines of the given servers. */
   listOnly(...indexes: readonly number[]): void {
-    const servers = this.#listed.filter((_, place) => indexes.includes(place))
+    const servers = this.#listedServers.filter((_, place) => indexes.includes(place))
     this.nodes.forEach((_, host) => {
       this.send(host, { kind: 'backendServers', servers })
     })
   }
 
-  /** Names the watchers, and tells them and one that no longer is. */
+  /** Sets the watchers and sends the list to them and to one former watcher. */
   setWatchers(indexes: readonly number[], former: number): void {
     const watchers = indexes.map(index => this.node(index).watcher)
     for (const index of [...indexes, former]) this.send(index, { kind: 'watchers', watchers })
   }
 
-  /** A new life of the host: the machine starts with nothing. */
+  /** Starts a new incarnation of the host: its machine loses all state. */
   restart(index: number): void {
     const node = this.node(index)
     node.core = this.#makeCore(node.watcher, index + 100)
     node.wakeAt = null
-    this.#greet(index)
+    this.#sendInitialMessages(index)
   }
 
   runFor(span: number): void {
@@ -182,20 +185,20 @@
     })
   }
 
-  /** The longest time since `from` in which no host's write was acknowledged. */
+  /** The longest time since `from` without an acknowledged write of any host. */
   gapSince(from: number): number {
     return this.writers.gapSince(from)
   }
 
-  /** The same of the host that waited longest, of those that are up and reachable. */
-  worstGapSince(from: number): number {
+  /** The longest such time of a single host, among those that are up and reachable. */
+  longestHostGapSince(from: number): number {
     const hosts = this.nodes.map(node => node.watcher.entryHost)
     const up = hosts.filter(host => !this.network.isOut(host))
     return Math.max(...up.map(host => this.writers.gapSince(from, host)))
   }
 
-  /** Acknowledged writes that the leader's log lacks or holds twice. */
-  broken(): readonly number[] {
+  /** Acknowledged writes that the leader's log lacks or holds more than once. */
+  lostOrDuplicatedWrites(): readonly number[] {
     const held = (this.leader()?.log ?? []).flatMap(record => record.write ?? [])
     const counts = new Map<number, number>()
     for (const write of held) counts.set(write, (counts.get(write) ?? 0) + 1)
@@ -204,8 +207,8 @@
       .filter(write => counts.get(write) !== 1)
   }
 
-  /** Whether every live server holds the leader's log and every live host routes to the leader. */
-  converged(): boolean {
+  /** Whether every live server follows the leader at its term and every live host routes to it. */
+  hasConverged(): boolean {
     const leader = this.leader()
     if (leader === null) return false
     const servers = this.servers.filter(server => !this.network.isOut(server.id))
@@ -257,25 +260,25 @@
 
   #receive(host: number, message: FailoverMessage): void {
     const node = this.node(host)
-    this.overhear(host, message)
+    this.observeMessage(host, message)
     if (message.kind === 'record') this.#route(node, message)
     for (const effect of node.core.handle(message, this.clock.now())) {
-      if (this.intercept(host, effect)) this.carryOut(host, effect)
+      if (this.intercept(host, effect)) this.executeEffect(host, effect)
     }
-    if (node.core.known !== null) this.#route(node, node.core.known)
+    if (node.core.knownRecord !== null) this.#route(node, node.core.knownRecord)
     this.#scheduleWake(host)
   }
 
   #startNodes(): void {
     this.nodes.forEach((_, index) => {
-      this.#greet(index)
+      this.#sendInitialMessages(index)
     })
   }
 
-  #greet(index: number): void {
+  #sendInitialMessages(index: number): void {
     const watchers = this.nodes.map(node => node.watcher)
     this.send(index, { kind: 'watchers', watchers })
-    this.send(index, { kind: 'backendServers', servers: this.#listed })
+    this.send(index, { kind: 'backendServers', servers: this.#listedServers })
   }
 
   #route(node: WatcherNode, known: KnownRecord): void {
@@ -293,20 +296,20 @@
     })
   }
 
-  /** Runs an effect, past `intercept`. */
-  carryOut(host: number, effect: FailoverEffect): void {
+  /** Executes an effect without calling `intercept`. */
+  executeEffect(host: number, effect: FailoverEffect): void {
     switch (effect.kind) {
       case 'askPosition':
         this.#askPosition(host, effect)
         return
       case 'fence':
-        this.#control(host, effect, server => server.fence(effect.term))
+        this.#executeControlCall(host, effect, server => server.fence(effect.term))
         return
       case 'promote':
-        this.#control(host, effect, server => server.promote(effect.term))
+        this.#executeControlCall(host, effect, server => server.promote(effect.term))
         return
       case 'follow':
-        this.#control(host, effect, server => server.follow(effect.term, effect.primary))
+        this.#executeControlCall(host, effect, server => server.follow(effect.term, effect.primary))
         return
       case 'readRecord':
       case 'swapRecord':
@@ -315,12 +318,12 @@
         })
         return
       case 'tellWatchers':
-        this.#tellOthers(host, { kind: 'opinion', opinion: effect.opinion })
+        this.#sendToOthers(host, { kind: 'opinion', opinion: effect.opinion })
         return
       case 'announce': {
         const { record, revision } = effect
         this.#route(this.node(host), { record, revision })
-        this.#tellOthers(host, { kind: 'record', record, revision })
+        this.#sendToOthers(host, { kind: 'record', record, revision })
         return
       }
       case 'event':
@@ -329,7 +332,7 @@
     }
   }
 
-  #tellOthers(host: number, message: FailoverMessage): void {
+  #sendToOthers(host: number, message: FailoverMessage): void {
     const from = this.hostName(host)
     this.nodes.forEach((node, index) => {
       if (index === host) return
@@ -345,7 +348,7 @@
     const fail = (failure: ControlFailure): void => {
       this.send(host, { kind: 'positionFailed', server, failure, askedAt })
     }
-    this.#ask(
+    this.#call(
       host,
       effect,
       target => ({ kind: 'report', report: target.report() }),
@@ -356,7 +359,7 @@
     )
   }
 
-  #control(
+  #executeControlCall(
     host: number,
     effect: Extract<FailoverEffect, { kind: 'fence' | 'promote' | 'follow' }>,
     run: (server: FakeBackendServer) => ControlReply,
@@ -365,12 +368,12 @@
     const fail = (failure: ControlFailure): void => {
       this.send(host, { kind: 'controlFailed', call, failure })
     }
-    this.#ask(host, effect, run, fail, report => {
+    this.#call(host, effect, run, fail, report => {
       this.send(host, { kind: 'controlAnswered', call, report })
     })
   }
 
-  #ask(
+  #call(
     host: number,
     effect: { readonly server: string; readonly timeoutMilliseconds: number },
     run: (server: FakeBackendServer) => ControlReply,
@@ -425,20 +428,20 @@
     })
   }
 
-  /** Runs now, or when those before it on the connection are answered. */
+  /** Runs now, or once the earlier calls on the connection are answered. */
   #whenFree(link: string, run: () => void): void {
-    const waiting = this.#waiting.get(link)
+    const waiting = this.#queuedCalls.get(link)
     if (waiting !== undefined) {
       waiting.push(run)
       return
     }
-    this.#waiting.set(link, [])
+    this.#queuedCalls.set(link, [])
     run()
   }
 
   #release(link: string): void {
-    const next = this.#waiting.get(link)?.shift()
-    if (next === undefined) this.#waiting.delete(link)
+    const next = this.#queuedCalls.get(link)?.shift()
+    if (next === undefined) this.#queuedCalls.delete(link)
     else next()
   }
 
@@ -465,7 +468,7 @@
     })
   }
 
-  /** Proxies write by the record they route by, and hold writes in every phase but one. */
+  /** The primary to which the host's proxies write; they hold writes in every phase but `stable`. */
   #primaryOf(host: number): BackendServerId | null {
     const record = this.node(host).routed?.record
     const isUp =
@@ -480,7 +483,7 @@
     primary.role = 'primary'
   }
 
-  #listServer(server: FakeBackendServer, zone: string): ListedBackendServer {
+  #createListedServer(server: FakeBackendServer, zone: string): ListedBackendServer {
     return {
       kind: 'backendServer',
       id: server.id,
--- a/packages/coordination/__tests__/fakeRecordStore.ts
+++ b/packages/coordination/__tests__/fakeRecordStore.ts
@@ -1,4 +1,4 @@
-/** The store at the failover machine's interface: one record under compare-and-swap. */
+/** The store reduced to what the failover machine sees: one record with compare-and-swap. */
 import type { GroupRecord } from '@nutmegcourse/protocol'
 import type { FailoverEffect, StoreOutcome } from '@nutmegcourse/coordination'
 
@@ -7,7 +7,7 @@
 export type StoreEffect = Extract<FailoverEffect, { kind: 'readRecord' | 'swapRecord' }>
 
 const STORE = 'store'
-const OWN_MILLISECONDS = 2
+const PROCESSING_MILLISECONDS = 2
 
 export class FakeRecordStore {
   state: 'up' | 'down' | 'answersLost' = 'up'
@@ -16,7 +16,7 @@
   stored: { record: GroupRecord | null; revision: number }
   readonly #network: VirtualNetwork
   readonly #watchers: readonly string[]
-  /** Called at each watcher when the record changed. */
+  /** Called for each watcher when the record has changed. */
   readonly #changed: (watcher: number, record: GroupRecord, revision: number) => void
 
   constructor(
@@ -43,7 +43,7 @@
     })
     if (this.state === 'down') return
     this.#network.pass(from, STORE, () => {
-      this.#network.schedule(OWN_MILLISECONDS + this.delay, () => {
+      this.#network.schedule(PROCESSING_MILLISECONDS + this.delay, () => {
         this.#finish(from, effect, once)
       })
     })
--- a/packages/coordination/__tests__/majorityWriters.ts
+++ b/packages/coordination/__tests__/majorityWriters.ts
@@ -1,12 +1,12 @@
-/** A proxy on each host that writes to the primary it knows and acknowledges by a majority. */
+/** Simulates a proxy on each host, which writes to its known primary and acknowledges by a majority. */
 import type { BackendServerId, LogPosition, Milliseconds } from '@nutmegcourse/shared'
 
 import type { FakeBackendServer } from './fakeBackendServer.js'
 import type { VirtualNetwork } from './virtualNetwork.js'
 
 const WRITE_INTERVAL_MILLISECONDS = 5
-const QUESTION_INTERVAL_MILLISECONDS = 10
-const GIVE_UP_MILLISECONDS = 500
+const POLL_INTERVAL_MILLISECONDS = 10
+const CONFIRMATION_TIMEOUT_MILLISECONDS = 500
 
 interface Acknowledgement {
   readonly write: number
@@ -14,7 +14,7 @@
   readonly host: string
 }
 
-interface RunWrite {
+interface PendingWrite {
   readonly host: string
   readonly write: number
   readonly primary: FakeBackendServer
@@ -27,7 +27,7 @@
   readonly #network: VirtualNetwork
   readonly #servers: readonly FakeBackendServer[]
   readonly #hosts: readonly string[]
-  /** Where a host's proxies send writes; null while they hold them. */
+  /** The server to which a host's proxies send writes; null while they hold writes. */
   readonly #primaryOf: (host: number) => BackendServerId | null
   readonly #acknowledgedWrites = new Set<number>()
   #lastWrite = 0
@@ -45,7 +45,7 @@
     this.#scheduleWrites()
   }
 
-  /** The longest time since `from` in which no write was acknowledged, of one host or of all. */
+  /** The longest time since `from` without an acknowledged write, of one host or of all. */
   gapSince(from: number, host?: string): number {
     const entries = this.acknowledged.filter(entry => host === undefined || entry.host === host)
     const times = entries.map(entry => entry.at).filter(at => at >= from)
@@ -74,32 +74,32 @@
     })
   }
 
-  /** Asks the others again until one more holds the write. */
-  #confirm(run: RunWrite): void {
+  /** Polls the other servers until one more holds the write or the confirmation times out. */
+  #confirm(pending: PendingWrite): void {
     for (const server of this.#servers) {
-      if (server !== run.primary) this.#askFor(run, server)
+      if (server !== pending.primary) this.#pollServer(pending, server)
     }
-    if (this.#network.now - run.ranAt > GIVE_UP_MILLISECONDS) return
-    this.#network.schedule(QUESTION_INTERVAL_MILLISECONDS, () => {
-      if (!this.#acknowledgedWrites.has(run.write)) this.#confirm(run)
+    if (this.#network.now - pending.ranAt > CONFIRMATION_TIMEOUT_MILLISECONDS) return
+    this.#network.schedule(POLL_INTERVAL_MILLISECONDS, () => {
+      if (!this.#acknowledgedWrites.has(pending.write)) this.#confirm(pending)
     })
   }
 
-  #askFor(run: RunWrite, server: FakeBackendServer): void {
-    const { host, position, write } = run
+  #pollServer(pending: PendingWrite, server: FakeBackendServer): void {
+    const { host, position, write } = pending
     this.#network.pass(host, server.id, () => {
       if (this.#network.isDead(server.id)) return
       const report = server.report()
       const isSameTerm = report.position.term === position.term
-      const isUnpromised = report.fencedTerm <= position.term
-      if (!isSameTerm || !isUnpromised || report.position.offset < position.offset) return
+      const isNotFencedAbove = report.fencedTerm <= position.term
+      if (!isSameTerm || !isNotFencedAbove || report.position.offset < position.offset) return
       this.#network.pass(server.id, host, () => {
         this.#acknowledge(write, host)
       })
     })
   }
 
-  /** The primary and one more of three are a majority. */
+  /** The primary and one more server form a majority of three. */
   #acknowledge(write: number, host: string): void {
     if (this.#acknowledgedWrites.has(write)) return
     this.#acknowledgedWrites.add(write)
