--- a/packages/state/__tests__/changeOfPrimary.spec.ts
+++ b/packages/state/__tests__/changeOfPrimary.spec.ts
@@ -24,7 +24,7 @@
   })
 }
 
-/** A core whose write ran at 1/2 on `a` and is confirmed by nobody. */
+/** A core whose write ran at term 1, offset 2 on `a` and is not confirmed by any replica. */
 function withUnconfirmedWrite(): CoreFixture {
   const fixture = new CoreFixture().start()
   fixture.arrive('assign')
@@ -33,20 +33,20 @@
 }
 
 /**
- * A primary runs a foreman's assignment and dies before any replica has it, or just after. The
- * caller waits for its answer while another server is promoted. Whether the write lasts depends on
- * what the new primary's log began with, and that is final only once a majority follows it.
+ * A primary runs a write and crashes before any replica holds it, or just after. The caller waits
+ * for its answer while another server is promoted. Whether the write lasts depends on what the new
+ * primary's log began with, and that is final only once a majority follows it.
  */
 describe('a write that ran before a change of primary', () => {
   const cases = [
     {
-      name: 'survives when the new term began after it',
+      name: 'is acknowledged when the new term began after it',
       startsAfter: [1, 2],
       majority: true,
       outcome: 'acknowledged',
     },
     {
-      name: 'did not run when the new term began before it',
+      name: 'is refused as rolled back when the new term began before it',
       startsAfter: [1, 1],
       majority: true,
       outcome: 'write_rolled_back',
@@ -78,7 +78,7 @@
     })
   }
 
-  it('is told unknown when nothing is heard in time, and its session still needs it', () => {
+  it('times out with an unknown outcome, and reads of its session still require it', () => {
     const fixture = withUnconfirmedWrite()
     expect(reasonsOf(fixture.advance(5100))).toEqual(['confirmation_timeout'])
     for (const name of ['a', 'b', 'c'] as const) fixture.answer(name, [1, 1])
@@ -97,12 +97,16 @@
   const promoting = record(2, { primary: A, phase: { kind: 'promoting', chosen: B } })
   const moving = groupRecord({ phase: { kind: 'moving', target: B } })
   const cases = [
-    { name: 'wait while the term is taken', given: noPrimary, reason: 'no_primary' },
-    { name: 'wait while the new primary is promoted', given: promoting, reason: 'no_primary' },
-    { name: 'wait while the primary is moved', given: moving, reason: 'primary_moving' },
+    { name: 'wait while the new term is being claimed', given: noPrimary, reason: 'no_primary' },
+    {
+      name: 'wait while the new primary is being promoted',
+      given: promoting,
+      reason: 'no_primary',
+    },
+    { name: 'wait while the primary is being moved', given: moving, reason: 'primary_moving' },
   ]
   for (const { name, given, reason } of cases) {
-    it(`${name}, past their class's latency, and are refused unrun in the end`, () => {
+    it(`${name}, past their class's latency, and are then refused without running`, () => {
       const fixture = new CoreFixture().start()
       fixture.snapshot(given)
       expect(serversOf(fixture.arrive('assign'), 'run')).toEqual([])
@@ -111,7 +115,7 @@
     })
   }
 
-  it('go to a server that says it leads before the agent does', () => {
+  it('go to a server that reports itself primary before the agent does', () => {
     const fixture = new CoreFixture().start()
     fixture.snapshot(promoting)
     fixture.arrive('assign')
@@ -119,7 +123,7 @@
     expect(serversOf(fixture.answer('b', [2, 2], { role: 'primary' }), 'run')).toEqual(['b'])
   })
 
-  it('run again elsewhere when a fenced primary refused them', () => {
+  it('run on the new primary after a fenced primary refused them', () => {
     const fixture = new CoreFixture().start()
     fixture.arrive('assign')
     const refused = fixture.ran('r1', null, { failed: true, refusedUnrun: true })
@@ -131,10 +135,11 @@
   })
 
   /**
-   * The store fails right after a coordinator took the next term. Nobody can go on with the change,
-   * yet the old primary was never fenced: without this no write succeeds until the store is back.
+   * The store fails right after a coordinator took the next term, so no coordinator can complete
+   * the change. The old primary was never fenced; unless it is used again, no write succeeds until
+   * the store is back.
    */
-  it('return to an old primary that nobody fenced when the change has stalled', () => {
+  it('return to an old primary that was never fenced when the change has stalled', () => {
     const fixture = new CoreFixture().start()
     fixture.snapshot(noPrimary)
     fixture.advance(3900)
@@ -143,8 +148,8 @@
     expect(serversOf(fixture.advance(300), 'run')).toEqual(['a'])
   })
 
-  /** A proxy is cut off from both replicas: what it wrote could never be told confirmed. */
-  it('wait unrun while no replica can be asked to confirm them', () => {
+  /** A proxy that is cut off from both replicas could never learn that a write is confirmed. */
+  it('wait without running while no replica can be asked to confirm them', () => {
     const fixture = new CoreFixture().start()
     for (let failures = 0; failures < 3; failures += 1) {
       fixture.advance(1000)
@@ -165,7 +170,7 @@
   })
 })
 
-/** An agent that restarted, or was cut off, tells of an older time than the proxy knows. */
+/** An agent that restarted or was cut off sends a snapshot older than the proxy's state. */
 describe('an older snapshot', () => {
   it('brings no replaced primary back', () => {
     const fixture = new CoreFixture().start()
@@ -189,7 +194,7 @@
     expect(reasonsOf(fixture.arrive('newest'))).toEqual([])
   })
 
-  it('with an old sequence tells only of newer terms, but for the first of a connection', () => {
+  it('with an old sequence still applies a newer term', () => {
     const fixture = new CoreFixture().start()
     fixture.snapshot(undefined, undefined, { sequence: 9 })
     const older = { sequence: 1, entryHostCount: 50 }
@@ -200,8 +205,8 @@
 
 describe('a primary that was replaced without knowing it', () => {
   /**
-   * The primary is cut off with one proxy while the others promote `b`, and a supervisor's write is
-   * acknowledged there. A read through the cut off proxy must not be served from the old log.
+   * The primary is cut off together with one proxy while the others promote `b`, where a write is
+   * acknowledged. A read through the proxy that is cut off must not be served from the old log.
    */
   it('serves no read that needs a bound', () => {
     const fixture = new CoreFixture().start()
@@ -212,14 +217,14 @@
     expect(reasonsOf(effects)).toEqual(['no_bound'])
   })
 
-  it('makes no majority of its own when the host list loses the other lines', () => {
+  it('is no majority by itself when the host list loses the other entries', () => {
     const fixture = new CoreFixture().start()
     fixture.snapshot(groupRecord(), [listedServer('a')])
     const arrived = [...fixture.arrive('lookup'), ...fixture.arrive('assign')]
     expect(serversOf([...arrived, ...fixture.answer('a', [1, 1])], 'run')).toEqual([])
   })
 
-  it('serves aged reads only until their age runs out', () => {
+  it('serves reads only until its data exceeds the age that their class accepts', () => {
     const fixture = new CoreFixture({ options: {} }).start()
     fixture.advance(900)
     expect(serversOf(fixture.arrive('primary_only'), 'run')).toEqual(['a'])
@@ -236,7 +241,7 @@
       listedServer(each, each === name ? { state: 'leaving' } : {}),
     )
 
-  it('gets no new read, keeps its transaction, and loses its connections when idle', () => {
+  it('gets no new read, keeps its transaction, and has its connections closed once idle', () => {
     const fixture = new CoreFixture().start()
     fixture.arrive('browse')
     const running = serversOf(fixture.arrive('browse'), 'run')
@@ -254,7 +259,7 @@
     expect(pick(fixture.ran('last'), 'close').map(each => each.connection)).toEqual([connection])
   })
 
-  it('takes writes as the primary for a short grace only', () => {
+  it('takes writes as the primary only for a short grace period', () => {
     const fixture = new CoreFixture().start()
     fixture.snapshot(groupRecord(), leaving('a'))
     fixture.openAll()
--- a/packages/state/__tests__/coreFixture.ts
+++ b/packages/state/__tests__/coreFixture.ts
@@ -1,4 +1,4 @@
-/** A core with one three-server database, and short ways to feed it. */
+/** A core with one three-server database, and helpers that send messages to it. */
 import {
   availabilityZoneId,
   backendServerId,
@@ -94,7 +94,7 @@
   readonly entryHostCount?: number
 }
 
-/** Drives one core by hand: every message returns its effects, and all of them are kept. */
+/** Drives one core on a virtual clock. Each message returns its effects, which are also kept. */
 export class CoreFixture {
   readonly clock = new VirtualClock(1000)
   readonly core: ProxyCore
@@ -146,7 +146,7 @@
     })
   }
 
-  /** Brings the core to work: a snapshot, every connection open, every position known. */
+  /** Makes the core ready: sends a snapshot, opens every connection and answers every question. */
   start(position: readonly [number, number] = [1, 1]): this {
     this.snapshot()
     this.openAll()
@@ -154,14 +154,14 @@
     return this
   }
 
-  /** Opens every connection that the core wanted so far and has no answer for. */
+  /** Reports every connection requested so far as opened. */
   openAll(): void {
     for (const effect of this.takeAll('open')) {
       this.send({ kind: 'connectionOpened', connection: effect.connection })
     }
   }
 
-  /** Answers a server's question. */
+  /** Answers the position question to a server. */
   answer(
     name: ServerName,
     position: readonly [number, number],
@@ -204,7 +204,7 @@
     })
   }
 
-  /** Moves time on in steps, ticking whenever the core asks for it. */
+  /** Advances time in steps, sending a tick whenever the core asks for one. */
   advance(span: number): readonly ProxyEffect[] {
     const effects: ProxyEffect[] = []
     const end = this.clock.now() + span
@@ -217,7 +217,7 @@
     }
   }
 
-  /** Effects of one kind so far, which are then forgotten. */
+  /** Removes and returns the kept effects of one kind. */
   takeAll<Kind extends ProxyEffect['kind']>(kind: Kind): Effect<Kind>[] {
     const wanted = pick(this.effects, kind)
     const rest = this.effects.filter(effect => effect.kind !== kind)
--- a/packages/state/__tests__/limits.spec.ts
+++ b/packages/state/__tests__/limits.spec.ts
@@ -50,7 +50,10 @@
   readonly gap: number
 }
 
-/** Plays joins and leaves; returns the greatest sum of shares while no join is news to anyone. */
+/**
+ * Simulates joins and leaves of hosts; returns the greatest sum of shares at times when every host
+ * knows of all joins.
+ */
 function greatestSum(
   changes: readonly FleetChange[],
   lags: readonly number[],
@@ -61,13 +64,13 @@
   const hosts = lags
     .slice(0, 3)
     .map(lag => ({ lag, count: new EntryHostCount(options), until: Infinity }))
-  for (const { count } of hosts) count.hear(3, milliseconds(0))
-  const news: { at: number; live: number; host: (typeof hosts)[number] }[] = []
+  for (const { count } of hosts) count.update(3, milliseconds(0))
+  const changeNotices: { at: number; live: number; host: (typeof hosts)[number] }[] = []
   let [time, live, lastJoin, greatest] = [0, 3, -Infinity, 0]
-  const look = (until: number): void => {
+  const runUntil = (until: number): void => {
     for (; time < until; time += 50) {
-      for (const each of news)
-        if (each.at === time) each.host.count.hear(each.live, milliseconds(time))
+      for (const each of changeNotices)
+        if (each.at === time) each.host.count.update(each.live, milliseconds(time))
       if (time < lastJoin + LONGEST_LAG) continue
       const now = milliseconds(time)
       const holding = hosts.filter(host => time < host.until)
@@ -81,11 +84,11 @@
     }
   }
   for (const { joins, gap } of changes) {
-    look(time + gap)
+    runUntil(time + gap)
     const leaver = hosts.find(host => host.until === Infinity)
     if (!joins && (live < 2 || leaver === undefined)) continue
     const draining = hosts.filter(host => host.until !== Infinity && time < host.until)
-    // The spare share is for one host that is being replaced.
+    // The reserved share covers only one host that is being replaced.
     if (joins && draining.length > 1) continue
     live += joins ? 1 : -1
     if (joins) {
@@ -94,16 +97,16 @@
         count: new EntryHostCount(options),
         until: Infinity,
       }
-      joiner.count.hear(live, milliseconds(time))
+      joiner.count.update(live, milliseconds(time))
       hosts.push(joiner)
       lastJoin = time
     } else if (leaver !== undefined) {
-      // It drains: its connections close well after the others may hear that it left.
+      // It drains: its connections close well after the others may learn that it left.
       leaver.until = time + DELAY - LONGEST_LAG
     }
-    for (const host of hosts) news.push({ at: time + host.lag, live, host })
+    for (const host of hosts) changeNotices.push({ at: time + host.lag, live, host })
   }
-  look(time + 3 * DELAY)
+  runUntil(time + 3 * DELAY)
   return greatest
 }
 
@@ -113,9 +116,9 @@
   const lags = fc.array(steps(LONGEST_LAG - 50), { minLength: 11, maxLength: 11 })
 
   /**
-   * A host leaves, drains for a while, and others hear of it at different times. With shares that
-   * grow at once, one opens connections that the leaving host still holds, and callers elsewhere
-   * wait behind connections that are refused with 53300.
+   * A host leaves and drains for a while, and the others learn of it at different times. With
+   * shares that grow at once, another host opens connections that the leaving host still holds;
+   * connections are then refused with 53300, and callers of other hosts wait.
    */
   const fits = (growthDelay: number) =>
     fc.property(changes, lags, (given, hostLags) => {
@@ -126,19 +129,22 @@
     fc.assert(fits(DELAY), { seed: 7, numRuns: 300 })
   })
 
-  it('would not without the delay', () => {
+  it('exceeds the limit without the growth delay', () => {
     expect(fc.check(fits(0), { seed: 7, numRuns: 3000 }).failed).toEqual(true)
   })
 
   it('shrinks at once and grows after the delay', () => {
-    const heard = new EntryHostCount({ minimumEntryHosts: 1, shareGrowthDelayMilliseconds: 1000 })
-    heard.hear(6, milliseconds(0))
-    heard.hear(9, milliseconds(100))
-    expect(heard.divisor(milliseconds(100))).toEqual(9)
-    heard.hear(6, milliseconds(5000))
-    expect(heard.divisor(milliseconds(5999))).toEqual(9)
-    expect(heard.nextGrowthAt(milliseconds(5999))).toEqual(milliseconds(6000))
-    expect(heard.divisor(milliseconds(6000))).toEqual(6)
+    const hostCount = new EntryHostCount({
+      minimumEntryHosts: 1,
+      shareGrowthDelayMilliseconds: 1000,
+    })
+    hostCount.update(6, milliseconds(0))
+    hostCount.update(9, milliseconds(100))
+    expect(hostCount.divisor(milliseconds(100))).toEqual(9)
+    hostCount.update(6, milliseconds(5000))
+    expect(hostCount.divisor(milliseconds(5999))).toEqual(9)
+    expect(hostCount.nextGrowthAt(milliseconds(5999))).toEqual(milliseconds(6000))
+    expect(hostCount.divisor(milliseconds(6000))).toEqual(6)
   })
 })
 
@@ -156,7 +162,7 @@
     })
   }
 
-  it('makes up for twenty turns at most, however long replicas were unfit', () => {
+  it('makes up for at most twenty turns, however long no replica qualified', () => {
     const share = new ReplicaShare()
     for (let reads = 0; reads < 500; reads += 1) {
       if (share.takeTurn(0.5) === 'replica') share.refund()
@@ -166,7 +172,7 @@
     expect(replicaReads >= 119 && replicaReads <= 120).toEqual(true)
   })
 
-  it('is never above what is permitted over all reads, whichever turns replicas could not take', () => {
+  it('never exceeds the permitted share over all reads, whichever turns replicas could not take', () => {
     fc.assert(
       fc.property(
         fc.double({ min: 0, max: 1, noNaN: true }),
@@ -188,7 +194,7 @@
 })
 
 describe('ReplicaWaits', () => {
-  it('stops waits that keep failing, and lets one try again later', () => {
+  it('stops waits after repeated failures, and lets one read try again later', () => {
     const waits = new ReplicaWaits()
     for (let count = 0; count < 3; count += 1) {
       expect(waits.mayStart(milliseconds(0))).toEqual(true)
@@ -202,7 +208,7 @@
 })
 
 describe('CircuitBreaker', () => {
-  it('opens after three failures in a row, tries once, and closes with the first success', () => {
+  it('opens after three consecutive failures, probes once, and closes with the first success', () => {
     const breaker = new CircuitBreaker(new SeededRandom(1))
     const now = milliseconds(0)
     breaker.recordFailure(now)
@@ -221,7 +227,7 @@
 })
 
 describe('RetryBudget', () => {
-  it('bounds a burst, is fed by successes, and trickles on without traffic', () => {
+  it('limits a burst, and is refilled by successes and slowly over time', () => {
     const budget = new RetryBudget()
     const take = (time: number) => budget.take(milliseconds(time))
     expect(Array.from({ length: 11 }, () => take(0)).filter(Boolean).length).toEqual(10)
@@ -231,7 +237,7 @@
 })
 
 describe('ServiceEstimate', () => {
-  it('knows nothing at first, and forgets a slow spell that ended with the traffic', () => {
+  it('is 0 without samples, and decays after a slow period that ended with the traffic', () => {
     const estimate = new ServiceEstimate()
     expect(estimate.at(milliseconds(0))).toEqual(0)
     estimate.record(400, milliseconds(0))
@@ -241,7 +247,7 @@
 })
 
 describe('ProgressRate', () => {
-  it('is measured within one term, over long enough', () => {
+  it('is measured within one term, over a long enough span', () => {
     const rate = new ProgressRate()
     rate.record(logPosition(1, 0), milliseconds(0))
     rate.record(logPosition(1, 50), milliseconds(100))
--- a/packages/state/__tests__/mergeSnapshot.spec.ts
+++ b/packages/state/__tests__/mergeSnapshot.spec.ts
@@ -54,47 +54,47 @@
   entryHostCount: 3,
 })
 
-// Every agent is restarted while callers go on. Each sends its proxies what it knows at once, which
-// is nothing yet; the proxies must not refuse with no_configuration or no_bound because of that.
+// Every agent is restarted while callers continue. Each sends its proxies its state at once, which
+// is still empty; the proxies must not refuse with no_configuration or no_bound because of that.
 describe('mergeSnapshot', () => {
   const whole = snapshot(9, 4, [{ record: record(3), backendServers: [SERVER] }])
   const cases: {
     name: string
-    news: RoutingSnapshot
+    received: RoutingSnapshot
     version: number
     term: number
     servers: number
   }[] = [
-    { name: 'knows nothing', news: snapshot(1, null, []), version: 4, term: 3, servers: 1 },
+    { name: 'knows nothing', received: snapshot(1, null, []), version: 4, term: 3, servers: 1 },
     {
       name: 'knows no servers yet',
-      news: snapshot(1, null, [{ record: record(3), backendServers: [] }]),
+      received: snapshot(1, null, [{ record: record(3), backendServers: [] }]),
       version: 4,
       term: 3,
       servers: 1,
     },
     {
       name: 'knows older targets and an older term',
-      news: snapshot(1, 2, [{ record: record(2), backendServers: [SERVER] }]),
+      received: snapshot(1, 2, [{ record: record(2), backendServers: [SERVER] }]),
       version: 4,
       term: 3,
       servers: 1,
     },
     {
       name: 'knows more',
-      news: snapshot(10, 5, [{ record: record(4), backendServers: [SERVER, SERVER] }]),
+      received: snapshot(10, 5, [{ record: record(4), backendServers: [SERVER, SERVER] }]),
       version: 5,
       term: 4,
       servers: 2,
     },
   ]
-  for (const { name, news, version, term: expected, servers } of cases) {
-    it(`loses nothing to an agent that ${name}`, () => {
-      const merged = mergeSnapshot(whole, news)
+  for (const { name, received, version, term: expected, servers } of cases) {
+    it(`keeps everything newer than the snapshot of an agent that ${name}`, () => {
+      const merged = mergeSnapshot(whole, received)
       expect(merged.targets?.version).toEqual(version)
       expect(merged.groups.map(group => group.record.term)).toEqual([term(expected)])
       expect(merged.groups[0]?.backendServers.length).toEqual(servers)
-      expect(merged.sequence).toEqual(news.sequence)
+      expect(merged.sequence).toEqual(received.sequence)
     })
   }
 })
--- a/packages/state/__tests__/positions.spec.ts
+++ b/packages/state/__tests__/positions.spec.ts
@@ -37,27 +37,32 @@
 
 describe('PositionTracker.boundAskedSince', () => {
   const cases = [
-    { name: 'one answer is no majority', answers: [answer('a', [1, 9])], since: 1, bound: null },
     {
-      name: 'two answers are bound by the greater',
+      name: 'is unknown after one answer of three',
+      answers: [answer('a', [1, 9])],
+      since: 1,
+      bound: null,
+    },
+    {
+      name: 'is the greater of two answers',
       answers: [answer('a', [1, 9]), answer('b', [1, 7])],
       since: 1,
       bound: [1, 9],
     },
     {
-      name: 'of three answers any two will do: the second least',
+      name: 'is the second lowest of three answers, since any two are a majority',
       answers: [answer('a', [1, 9]), answer('b', [1, 7]), answer('c', [1, 8])],
       since: 1,
       bound: [1, 8],
     },
     {
-      name: 'answers to questions sent before do not count',
+      name: 'ignores answers to questions sent before',
       answers: [answer('a', [1, 9], 5), answer('b', [1, 7], 4)],
       since: 5,
       bound: null,
     },
     {
-      name: 'a later term is past every offset of an earlier one',
+      name: 'orders a later term past every offset of an earlier one',
       answers: [answer('a', [1, 90]), answer('b', [2, 7])],
       since: 1,
       bound: [2, 7],
@@ -72,29 +77,37 @@
 })
 
 /**
- * The platform's list loses lines, or shows a server's successor before it is gone. A primary that
- * is listed alone would make a majority of its own, and its writes would be lost with it.
+ * The platform's list loses entries, or shows a server's successor before the server is gone. A
+ * primary that is listed alone would be a majority by itself, and its writes would be lost with it.
  */
 describe('GroupMembers', () => {
   const live = (name: ServerName) => listedServer(name)
   const leaving = (name: ServerName) => listedServer(name, { state: 'leaving' })
   const whole = SERVERS.map(live)
   const cases = [
-    { name: 'three listed', lists: [whole], size: 3 },
-    { name: 'two vanished without leaving', lists: [whole, [live('a')]], size: 3 },
+    { name: 'counts three listed servers', lists: [whole], size: 3 },
+    {
+      name: 'counts two servers that disappeared without leaving',
+      lists: [whole, [live('a')]],
+      size: 3,
+    },
     {
-      name: 'one left',
+      name: 'does not count a server that left',
       lists: [whole, [live('a'), live('b'), leaving('c')], [live('a'), live('b')]],
       size: 2,
     },
-    { name: 'one vanished and came back', lists: [whole, [live('a'), live('b')], whole], size: 3 },
     {
-      name: 'another took the place of one that left',
+      name: 'counts a server once that disappeared and returned',
+      lists: [whole, [live('a'), live('b')], whole],
+      size: 3,
+    },
+    {
+      name: 'counts the successor of a server that left, without that server',
       lists: [whole.slice(0, 2), [live('a'), leaving('b'), live('c')], [live('a'), live('c')]],
       size: 2,
     },
     {
-      name: 'another took the place of one that vanished',
+      name: 'counts the successor of a server that disappeared, and that server',
       lists: [whole.slice(0, 2), [live('a'), live('c')]],
       size: 3,
     },
@@ -102,7 +115,7 @@
   for (const { name, lists, size } of cases) {
     it(name, () => {
       const members = new GroupMembers()
-      for (const list of lists) members.list(list)
+      for (const list of lists) members.update(list)
       expect(members.size).toEqual(size)
     })
   }
@@ -110,27 +123,36 @@
 
 describe('PositionTracker.confirmedOffset', () => {
   const cases = [
-    { name: 'a replica at the term counts', answers: [answer('b', [1, 7])], offset: 7 },
     {
-      name: 'the further replica decides',
+      name: 'counts a replica whose log ends in the term',
+      answers: [answer('b', [1, 7])],
+      offset: 7,
+    },
+    {
+      name: 'is the offset of the replica that is further ahead',
       answers: [answer('b', [1, 7]), answer('c', [1, 8])],
       offset: 8,
     },
     {
-      name: "the primary's own report does not count twice",
+      name: "does not count the primary's own report a second time",
       answers: [answer('a', [1, 9])],
       offset: -1,
     },
     /**
-     * A replica is fenced for a third term and copies the first term's records from its primary. The
-     * caller would be told "done" of a write that the second term's primary, once back, outranks.
+     * A replica is fenced for a third term and copies the first term's records from its primary.
+     * Counting it would acknowledge a write that the log of the second term's primary, once that is
+     * back, outranks.
      */
     {
-      name: 'a replica that is fenced past the term does not count',
+      name: 'ignores a replica that is fenced at a later term',
       answers: [{ ...answer('b', [1, 7]), fenced: 3 }],
       offset: -1,
     },
-    { name: 'a log of another term does not count', answers: [answer('b', [2, 50])], offset: -1 },
+    {
+      name: 'ignores a log that ends in another term',
+      answers: [answer('b', [2, 50])],
+      offset: -1,
+    },
   ]
   for (const { name, answers, offset } of cases) {
     it(name, () => {
@@ -141,8 +163,8 @@
 })
 
 describe('a group of one backend server', () => {
-  // A database has a single server. Its callers' writes ran, and each ended in "outcome unknown":
-  // a majority of one is the primary itself, and only others' reports were counted.
+  // In a database with a single server every write ran but ended in "outcome unknown", because the
+  // primary is the whole majority there and only the reports of other servers were counted.
   it('confirms what its primary ran', () => {
     const tracker = new PositionTracker()
     tracker.setServers([backendServerId('a')], 1)
@@ -153,8 +175,12 @@
 
 describe('PositionTracker.majorityTerm', () => {
   const cases = [
-    { name: 'two logs and fences at one term', fenced: [2, 2], expected: term(2) },
-    { name: 'one of them is fenced for a later term', fenced: [2, 3], expected: null },
+    { name: 'is the term at which two logs end and are fenced', fenced: [2, 2], expected: term(2) },
+    {
+      name: 'is null when one of two servers is fenced at a later term',
+      fenced: [2, 3],
+      expected: null,
+    },
   ] as const
   for (const { name, fenced, expected } of cases) {
     it(name, () => {
@@ -168,7 +194,7 @@
 })
 
 describe('PositionTracker.freshAsOf', () => {
-  it('tells the age of a replica that trails by the bounds it has reached', () => {
+  it('gives the age of a lagging replica by the newest bound it has reached', () => {
     const tracker = trackerWith([answer('a', [1, 5], 10), answer('b', [1, 5], 10)])
     for (const { server, position, asked } of [
       answer('a', [1, 8], 20),
@@ -184,7 +210,7 @@
 })
 
 describe('BoundHistory', () => {
-  it('drops bounds that a later and lesser one makes useless', () => {
+  it('drops bounds that a later and lower one makes redundant', () => {
     const history = new BoundHistory()
     history.add(milliseconds(10), at([1, 9]))
     history.add(milliseconds(20), at([1, 7]))
@@ -192,7 +218,7 @@
     expect(history.asOf(at([1, 6]))).toEqual(NEVER)
   })
 
-  it('stays small and right over a long time', () => {
+  it('stays accurate for recent positions over a long time', () => {
     const history = new BoundHistory()
     for (let time = 1; time <= 10_000; time += 1) history.add(milliseconds(time), at([1, time]))
     const found = history.asOf(at([1, 9990]))
@@ -209,12 +235,37 @@
   })
   const starts = [start(2, [1, 5]), start(3, [2, 8]), start(5, [3, 9])]
   const cases = [
-    { name: 'kept by the next term', write: [1, 5], inTerm: 2, expected: 'held' },
-    { name: 'past where the next term starts', write: [1, 6], inTerm: 2, expected: 'discarded' },
-    { name: 'kept through three terms', write: [1, 4], inTerm: 5, expected: 'held' },
-    { name: 'lost two terms ago', write: [1, 6], inTerm: 5, expected: 'discarded' },
-    { name: 'of a term that the log left out', write: [4, 9], inTerm: 5, expected: 'discarded' },
-    { name: 'of a term whose start is not known', write: [1, 1], inTerm: 9, expected: 'unknown' },
+    {
+      name: 'is held if the next term starts at the write',
+      write: [1, 5],
+      inTerm: 2,
+      expected: 'held',
+    },
+    {
+      name: 'is discarded if the next term starts before the write',
+      write: [1, 6],
+      inTerm: 2,
+      expected: 'discarded',
+    },
+    { name: 'is held if three later terms contain it', write: [1, 4], inTerm: 5, expected: 'held' },
+    {
+      name: 'is discarded if an intermediate term lacks it',
+      write: [1, 6],
+      inTerm: 5,
+      expected: 'discarded',
+    },
+    {
+      name: 'is discarded if the log skips its term',
+      write: [4, 9],
+      inTerm: 5,
+      expected: 'discarded',
+    },
+    {
+      name: 'is unknown if the start of the term is not recorded',
+      write: [1, 1],
+      inTerm: 9,
+      expected: 'unknown',
+    },
   ] as const
   for (const { name, write, inTerm, expected } of cases) {
     it(name, () => {
@@ -224,9 +275,9 @@
 })
 
 describe('SessionPositions', () => {
-  it('holds forgotten sessions to what they may have written', () => {
+  it('requires evicted sessions to read what they may have written', () => {
     const sessions = new SessionPositions(2)
-    expect(sessions.needOf(sessionId('first'))).toEqual(ORIGIN)
+    expect(sessions.requiredPosition(sessionId('first'))).toEqual(ORIGIN)
     for (const [name, offset] of [
       ['first', 3],
       ['second', 1],
@@ -235,6 +286,6 @@
       sessions.advance(sessionId(name), at([1, offset]))
     }
     expect(sessions.size).toEqual(2)
-    expect(sessions.needOf(sessionId('first'))).toEqual(at([1, 3]))
+    expect(sessions.requiredPosition(sessionId('first'))).toEqual(at([1, 3]))
   })
 })
--- a/packages/state/__tests__/proxyCore.spec.ts
+++ b/packages/state/__tests__/proxyCore.spec.ts
@@ -4,7 +4,7 @@
 import { CoreFixture, groupRecord, pick, reasonsOf, serversOf } from './coreFixture.js'
 
 describe('ProxyCore', () => {
-  it('warms one connection to each server and asks for positions before any request', () => {
+  it('opens one connection to each server and asks for positions before any request', () => {
     const effects = new CoreFixture().snapshot()
     expect(serversOf(effects, 'open')).toEqual(['a', 'b', 'c'])
     expect(serversOf(effects, 'askPosition')).toEqual(['a', 'b', 'c'])
@@ -26,14 +26,14 @@
     expect(pick(caughtUp, 'acknowledge').map(each => each.request)).toEqual([requestId('r1')])
   })
 
-  it('serves a bound session without any question once its position is held', () => {
+  it('serves a session of one connection without a question once its position is held', () => {
     const fixture = new CoreFixture().start()
     const effects = fixture.arrive('browse')
     expect(serversOf(effects, 'run').length).toEqual(1)
     expect(serversOf(effects, 'askPosition')).toEqual([])
   })
 
-  it('asks a bound for a session that roams, and serves it by the least one', () => {
+  it('asks for a bound for a roaming session, and serves its read once the bound is known', () => {
     const fixture = new CoreFixture().start()
     const arrival = fixture.arrive('lookup', { roams: true, session: sessionId('roaming') })
     expect(serversOf(arrival, 'run')).toEqual([])
@@ -50,7 +50,7 @@
   ]
   for (const { of, roams, asks } of needs) {
     const bound = asks.length > 0 ? 'a bound asked after its arrival' : 'no bound'
-    it(`needs ${bound} for ${of} of a session that ${roams ? 'roams' : 'stays'}`, () => {
+    it(`needs ${bound} for ${of} of a ${roams ? 'roaming session' : 'session of one connection'}`, () => {
       const fixture = new CoreFixture().start()
       const effects = fixture.arrive(of, { roams })
       expect(serversOf(effects, 'askPosition')).toEqual(asks)
@@ -58,7 +58,7 @@
     })
   }
 
-  it('tells a caller at once when there is no such class', () => {
+  it('refuses a request of an unknown class at once', () => {
     const fixture = new CoreFixture().start()
     expect(reasonsOf(fixture.arrive('nothing'))).toEqual(['unknown_class'])
   })
@@ -81,7 +81,7 @@
     expect(pick(fixture.ran('r1'), 'stopped').length).toEqual(1)
   })
 
-  it('wakes seldom while nothing happens', () => {
+  it('wakes at most six times a second while idle', () => {
     const fixture = new CoreFixture().start()
     let wakes = 0
     const end = fixture.clock.now() + 10_000
@@ -92,7 +92,7 @@
       fixture.send({ kind: 'tick' })
       for (const name of ['a', 'b', 'c'] as const) fixture.answer(name, [1, 1])
     }
-    // A question each 250 ms to the two near servers, and each second to the far one.
+    // Questions are sent every 250 ms to the two near servers, and every second to the far one.
     expect(wakes <= 60).toEqual(true)
   })
 })
--- a/packages/state/__tests__/requests.spec.ts
+++ b/packages/state/__tests__/requests.spec.ts
@@ -19,20 +19,25 @@
 }
 
 /**
- * A connection breaks under a request. A user would see an assignment made twice if it were sent
- * again, or an upload told "not run" that ran, or half an answer followed by another whole one.
+ * A connection breaks while a request runs. A retry could run a write twice that is not idempotent,
+ * report a write that ran as "not run", or send a second answer after part of the first.
  */
 describe('a request whose connection broke', () => {
   const cases = [
-    { name: 'a read goes elsewhere', of: 'browse', partly: false, outcome: 'again' },
+    { name: 'a read is retried on another server', of: 'browse', partly: false, outcome: 'again' },
     {
-      name: 'a read with part of its answer out does not',
+      name: 'a read whose answer was partly sent is not retried',
       of: 'browse',
       partly: true,
       outcome: 'connection_lost',
     },
-    { name: 'an idempotent write goes again', of: 'upload', partly: false, outcome: 'again' },
-    { name: 'another write never does', of: 'assign', partly: false, outcome: 'connection_lost' },
+    { name: 'an idempotent write is retried', of: 'upload', partly: false, outcome: 'again' },
+    {
+      name: 'a write that is not idempotent is not retried',
+      of: 'assign',
+      partly: false,
+      outcome: 'connection_lost',
+    },
   ] as const
   for (const { name, of, partly, outcome } of cases) {
     it(name, () => {
@@ -47,7 +52,7 @@
     })
   }
 
-  it('is never told "not run" after an attempt that may have run', () => {
+  it('is not refused as "not run" after an attempt that may have run', () => {
     const fixture = new CoreFixture().start()
     fixture.arrive('upload')
     breakConnection(fixture, 'r1')
@@ -55,7 +60,7 @@
     expect(reasonsOf(effects)).toEqual(['connection_lost'])
   })
 
-  it('is retried within a budget only', () => {
+  it('is retried only within a budget', () => {
     const fixture = new CoreFixture({ options: { queueLimit: 100 } }).start()
     const reasons: string[] = []
     for (let count = 1; count <= 40; count += 1) {
@@ -72,7 +77,7 @@
   })
 })
 
-/** Statements of two transactions must never meet on one connection. */
+/** Statements of two transactions must never share a connection. */
 describe('a transaction', () => {
   function withTransaction(): CoreFixture {
     const fixture = new CoreFixture().start()
@@ -90,7 +95,7 @@
     expect(connectionOf(fixture, 'r2') === held).toEqual(false)
   })
 
-  it('is confirmed by its last statement', () => {
+  it('waits for confirmation at its last statement', () => {
     const fixture = withTransaction()
     const connection = connectionOf(fixture, 'r1')
     fixture.send({ kind: 'transactionContinued', request: requestId('commit'), connection })
@@ -99,14 +104,14 @@
     expect(pick(confirmed, 'acknowledge').map(each => each.request)).toEqual([requestId('commit')])
   })
 
-  it('loses its connection with its caller', () => {
+  it('has its connection closed when its caller disconnects', () => {
     const fixture = withTransaction()
     const connection = connectionOf(fixture, 'r1')
     const effects = fixture.send({ kind: 'requestAbandoned', request: requestId('r1') })
     expect(pick(effects, 'close').map(each => each.connection)).toEqual([connection])
   })
 
-  it('that lost its connection between statements did not run', () => {
+  it('that lost its connection between statements is refused as lost', () => {
     const fixture = withTransaction()
     const connection = connectionOf(fixture, 'r1')
     fixture.send({ kind: 'connectionClosed', connection })
@@ -118,7 +123,7 @@
     expect(reasonsOf(effects)).toEqual(['transaction_lost'])
   })
 
-  it('that broke at its last statement is unknown', () => {
+  it('that lost its connection at its last statement has an unknown outcome', () => {
     const fixture = withTransaction()
     const connection = connectionOf(fixture, 'r1')
     fixture.send({ kind: 'transactionContinued', request: requestId('commit'), connection })
@@ -141,7 +146,7 @@
   })
 })
 
-describe('a caller that leaves', () => {
+describe('a caller that disconnects', () => {
   it('while its request runs takes the connection with it', () => {
     const fixture = new CoreFixture().start()
     fixture.arrive('browse')
@@ -151,7 +156,7 @@
     expect(serversOf(effects, 'open').length).toEqual(1)
   })
 
-  it('while its request is queued leaves nothing behind', () => {
+  it('while its request is queued has the request removed', () => {
     const fixture = new CoreFixture()
     fixture.snapshot()
     fixture.arrive('assign')
@@ -161,11 +166,11 @@
   })
 })
 
-/** Connections are scarce: what can not be served in time is told at once, with when to come back. */
+/** A request that can not be served in time is refused at once, with a time to retry after. */
 describe('overload', () => {
   const slowWrites = [classTargets('assign', { access: 'write', latencyMilliseconds: 100 })]
 
-  /** One connection to each server, and a primary that is slow with a write. */
+  /** A core with one connection to each server and a primary that was slow to run one write. */
   function withSlowPrimary(milliseconds: number): CoreFixture {
     const fixture = new CoreFixture({ classes: slowWrites, entryHostCount: 20 }).start()
     fixture.arrive('assign')
@@ -175,7 +180,7 @@
     return fixture
   }
 
-  it('refuses a write that the queue ahead makes late', () => {
+  it('refuses a write that is predicted late because of the queue ahead', () => {
     const fixture = withSlowPrimary(60)
     fixture.arrive('assign')
     fixture.arrive('assign')
@@ -184,7 +189,7 @@
     expect(refusal?.refusal.retryAfterMilliseconds).toEqual(20)
   })
 
-  it('lets a write through when nothing is ahead, whatever the estimate says', () => {
+  it('admits a write when no other is ahead, whatever the estimate', () => {
     const fixture = withSlowPrimary(180)
     fixture.arrive('assign')
     fixture.advance(10)
@@ -202,14 +207,14 @@
     expect(next.map(each => each.request)).toEqual([requestId('r3')])
   })
 
-  it('bounds its queues', () => {
+  it('refuses requests beyond the queue limit', () => {
     const fixture = new CoreFixture({ options: { queueLimit: 2 } })
     fixture.snapshot()
     const reasons = [1, 2, 3].flatMap(() => reasonsOf(fixture.arrive('assign')))
     expect(reasons).toEqual(['queue_full'])
   })
 
-  it('refuses a write whose confirmation is foreseen to come too late', () => {
+  it('refuses a write whose confirmation is predicted late', () => {
     const fixture = new CoreFixture().start([1, 100])
     for (let step = 1; step <= 4; step += 1) {
       fixture.advance(300)
@@ -217,14 +222,14 @@
       for (const name of ['b', 'c'] as const) fixture.answer(name, [1, 100 + step * 10])
     }
     expect(reasonsOf(fixture.arrive('assign'))).toEqual(['confirmation_predicted_late'])
-    // Reports that grew old refuse nothing.
+    // Stale reports cause no refusal.
     fixture.advance(3500)
     expect(serversOf(fixture.arrive('assign'), 'run')).toEqual(['a'])
   })
 })
 
 describe('a backend server that fails', () => {
-  it('gets no reads after three failures, is reported, and comes back with one good answer', () => {
+  it('gets no reads after three failures, is reported, and is used again after one answer', () => {
     const fixture = new CoreFixture().start()
     for (let failures = 0; failures < 3; failures += 1) {
       fixture.advance(1000)
@@ -245,7 +250,7 @@
     expect(pick(effects, 'reportHealth').map(each => each.health)).toEqual(['reachable'])
   })
 
-  it('that is full is left alone for a while, and is not taken for broken', () => {
+  it('at its connection limit is not retried for a while, and is not reported unreachable', () => {
     const fixture = new CoreFixture()
     fixture.snapshot()
     for (let round = 0; round < 4; round += 1) {
@@ -260,7 +265,7 @@
     expect(pick(fixture.effects, 'reportHealth')).toEqual([])
   })
 
-  it('silently holding a read has it sent elsewhere after its latency', () => {
+  it('that does not respond has its read retried on another server after the class latency', () => {
     const fixture = new CoreFixture().start()
     fixture.arrive('browse')
     const [server] = serversOf(fixture.arrive('browse'), 'run')
@@ -280,9 +285,9 @@
     expect(reasonsOf(again)).toEqual([])
   })
 
-  /** One connection hangs though its server answers questions: its caller would wait for ever. */
+  /** One connection hangs while its server answers questions: its caller would wait forever. */
   for (const of of ['browse', 'assign']) {
-    it(`holding one ${of} for a minute has it given up`, () => {
+    it(`that holds one ${of} for a minute has it refused`, () => {
       const fixture = new CoreFixture().start()
       fixture.arrive(of)
       const reasons: string[] = []
@@ -296,8 +301,8 @@
 })
 
 describe('reads', () => {
-  /** At nil load no request keeps ages known: the proxy's own questions must. */
-  it('find ages known after an hour without any request', () => {
+  /** Without traffic only the proxy's own questions keep the age of each server's data known. */
+  it('find a server of known age after an hour without any request', () => {
     const fixture = new CoreFixture().start()
     for (let step = 0; step < 60; step += 1) {
       fixture.advance(60_000)
@@ -306,8 +311,8 @@
     expect(serversOf(fixture.arrive('browse'), 'run').length).toEqual(1)
   })
 
-  /** A read waits a second for the only connection; by then nobody knows how old the data is. */
-  it('that grew too old for their class in a queue do not run', () => {
+  /** A read waits a second for the only connection; by then the age of the data is unknown. */
+  it('do not run when the data grew too old for their class while they were queued', () => {
     const classes = [classTargets('patient', { latencyMilliseconds: 5000, replicaReadShare: 0 })]
     const fixture = new CoreFixture({ classes, entryHostCount: 20 }).start()
     fixture.arrive('patient')
@@ -318,7 +323,7 @@
     expect(serversOf(fixture.answer('b', [1, 1]), 'run')).toEqual(['a'])
   })
 
-  it('go to a replica as soon as a third answer lowers their bound', () => {
+  it('go to a replica once a third answer lowers their bound', () => {
     const classes = [classTargets('lookup', { freshnessMilliseconds: 0, replicaReadShare: 1 })]
     const fixture = new CoreFixture({ classes }).start()
     fixture.arrive('lookup')
@@ -328,7 +333,7 @@
     expect(serversOf(fixture.answer('c', [1, 8]), 'run')).toEqual(['c'])
   })
 
-  it('prefer the zone, then the region, then the paid link', () => {
+  it('prefer servers of the same zone, then of the same region, then of another region', () => {
     const fixture = new CoreFixture({
       classes: [classTargets('browse', { replicaReadShare: 1 })],
     }).start()
@@ -350,7 +355,7 @@
 })
 
 describe('explain', () => {
-  it('tells of a class which servers are fresh enough', () => {
+  it('lists for a class which servers are fresh enough', () => {
     const fixture = new CoreFixture().start()
     const { lines } = fixture.core.explain(
       { kind: 'class', database: 'berths' as never, class: 'browse' as never },
--- a/packages/state/src/backendServer.ts
+++ b/packages/state/src/backendServer.ts
@@ -1,5 +1,6 @@
 /**
- * One backend server as this proxy knows it: its connections, queue, health and open question.
+ * One backend server as this proxy sees it: its connections, queue, health and open position
+ * question.
  *
  * @internal
  */
@@ -19,15 +20,16 @@
 import { ServiceEstimate } from './serviceEstimate.js'
 import { forecastWait } from './waitForecast.js'
 
-/** How far away a server stands: in this host's zone, in its region, or past the paid link. */
+/** Network distance: 0 same zone, 1 same region, 2 another region, reached over the paid link. */
 export type Distance = 0 | 1 | 2
-export const PAST_THE_LINK: Distance = 2
+export const OTHER_REGION: Distance = 2
 
-const FIRST_PACE_MILLISECONDS = 1
-const LONGEST_PACE_MILLISECONDS = 20
-const PACE_GROWTH = 1.5
+/** Bounds of the pause between questions while requests wait for a position to advance. */
+const SHORTEST_INTERVAL_MILLISECONDS = 1
+const LONGEST_INTERVAL_MILLISECONDS = 20
+const INTERVAL_GROWTH = 1.5
 
-/** The one position question that may be open to a server. */
+/** A position question without an answer yet; at most one is open per server. */
 interface OpenQuestion {
   readonly askedAt: Milliseconds
   readonly moment: Moment
@@ -38,15 +40,15 @@
   readonly pool: ConnectionPool
   readonly breaker: CircuitBreaker
   readonly reads = new RequestQueue()
-  readonly service = new ServiceEstimate()
+  readonly serviceEstimate = new ServiceEstimate()
   readonly distance: Distance
   #listed: ListedBackendServer
   #leavingSince: Milliseconds | null = null
   #question: OpenQuestion | null = null
   #lastAskedAt: Milliseconds = milliseconds(Number.NEGATIVE_INFINITY)
   #lastAskedMoment: Moment = -1
-  #pace = FIRST_PACE_MILLISECONDS
-  /** Something happened that its next answer may explain; it is asked at once. */
+  #questionInterval = SHORTEST_INTERVAL_MILLISECONDS
+  /** Asks at once, since the answer may explain a refusal or a closed connection. */
   isQuestionUrgent = false
   #lastQuestionFailed = false
   reportedHealth: 'reachable' | 'unreachable' | null = null
@@ -76,7 +78,7 @@
     return this.#leavingSince
   }
 
-  /** Whether it may be given new work. */
+  /** Whether it may be sent new requests. */
   get isUsable(): boolean {
     return this.#leavingSince === null && this.breaker.isClosed
   }
@@ -97,13 +99,13 @@
     return this.#lastQuestionFailed
   }
 
-  /** It refused a write since its last report, so that report's word on its role is outdated. */
-  get refusedWrite(): boolean {
+  /** It refused a write since its last report, so the role in that report is outdated. */
+  get hasRefusedWrite(): boolean {
     return this.#refusedWriteMoment !== null
   }
 
-  get pace(): number {
-    return this.#pace
+  get questionInterval(): number {
+    return this.#questionInterval
   }
 
   update(listed: ListedBackendServer, now: Milliseconds): void {
@@ -123,13 +125,13 @@
     this.isQuestionUrgent = false
   }
 
-  writeRefused(moment: Moment): void {
+  recordWriteRefusal(moment: Moment): void {
     this.#refusedWriteMoment = moment
     this.isQuestionUrgent = true
   }
 
-  /** An answer counts only when its question was sent after the refusal. */
-  reportedAfterRefusal(askedMoment: Moment): void {
+  /** Clears a write refusal, but only by an answer whose question was sent after the refusal. */
+  clearWriteRefusal(askedMoment: Moment): void {
     if (this.#refusedWriteMoment !== null && askedMoment >= this.#refusedWriteMoment) {
       this.#refusedWriteMoment = null
     } else if (this.#refusedWriteMoment !== null) this.isQuestionUrgent = true
@@ -144,41 +146,42 @@
     return question
   }
 
-  /** A question without an answer for so long is given up, whatever became of it. */
-  forgetQuestion(): void {
+  /** Treats the open question as failed, without waiting any longer for its answer. */
+  abandonQuestion(): void {
     this.#question = null
     this.#lastQuestionFailed = true
   }
 
-  /** Waits longer between questions while the answers bring nothing new. */
-  adaptPace(advanced: boolean): void {
-    this.#pace = advanced
-      ? FIRST_PACE_MILLISECONDS
-      : Math.min(this.#pace * PACE_GROWTH, LONGEST_PACE_MILLISECONDS)
+  /** Backs off exponentially while answers are unchanged; resets after one that is not. */
+  adaptQuestionInterval(advanced: boolean): void {
+    this.#questionInterval = advanced
+      ? SHORTEST_INTERVAL_MILLISECONDS
+      : Math.min(this.#questionInterval * INTERVAL_GROWTH, LONGEST_INTERVAL_MILLISECONDS)
   }
 
   /**
-   * Milliseconds until a request that comes now gets a connection, behind `ahead` queued ones. With
-   * none ahead it is let through whatever the estimate says, or a wrong one would never be mended.
+   * Predicted milliseconds until a request that arrives now gets a connection, behind `ahead`
+   * queued ones. With none ahead it is 0 whatever the estimate: some request must run, or a wrong
+   * estimate would never be corrected.
    */
   predictedWait(ahead: number, now: Milliseconds): number {
     if (ahead === 0 || this.pool.idleCount > ahead || this.pool.hasRoom(now)) return 0
     const connections = Math.min(this.pool.size, this.pool.share)
-    return forecastWait({ ahead, connections, holdMilliseconds: this.service.at(now) })
+    return forecastWait({ ahead, connections, holdMilliseconds: this.serviceEstimate.at(now) })
   }
 
-  /** Requests here per slot: equal servers are compared by it. */
+  /** Running and queued requests per slot; breaks ties between servers at the same distance. */
   get load(): number {
     return (this.pool.busyCount + this.reads.size) / Math.max(this.slots, 1)
   }
 
-  /** Whether an open question has waited so long that the server seems frozen or cut off. */
-  isSilent(now: Milliseconds, limit: number): boolean {
+  /** Whether the open question is older than `limit` ms: the server may be stalled or cut off. */
+  isUnresponsive(now: Milliseconds, limit: number): boolean {
     return this.#question !== null && now > addMilliseconds(this.#question.askedAt, limit)
   }
 }
 
 function distanceOf(listed: ListedBackendServer, place: ProxyPlace): Distance {
   if (listed.zone === place.zone) return 0
-  return listed.region === place.region ? 1 : PAST_THE_LINK
+  return listed.region === place.region ? 1 : OTHER_REGION
 }
--- a/packages/state/src/boundHistory.ts
+++ b/packages/state/src/boundHistory.ts
@@ -1,5 +1,5 @@
 /**
- * Which position covers every write that was acknowledged before a given time.
+ * Records which log position covers every write that was acknowledged before a given time.
  *
  * @internal
  */
@@ -16,8 +16,8 @@
 export const NEVER = milliseconds(Number.NEGATIVE_INFINITY)
 
 /**
- * Bounds in the order of their times. A replica that trails the newest bound may still be past an
- * older one, and that one tells its age; without a history it would have no age at all.
+ * Bounds in order of time. A replica that is behind the newest bound may still be past an older
+ * one, which gives the age of its data; without a history that age would be unknown.
  */
 export class BoundHistory {
   #entries: TimedBound[] = []
@@ -26,7 +26,7 @@
     let index = this.#entries.length
     while (index > 0 && this.#entryAt(index - 1).asOf >= asOf) index -= 1
     const later = this.#entries[index]
-    // A later time with a lesser or equal bound says more than this entry.
+    // A later time with a lesser or equal bound makes this entry redundant.
     if (later !== undefined && isAtOrPast(bound, later.bound)) return
     let first = index
     while (first > 0 && isAtOrPast(this.#entryAt(first - 1).bound, bound)) first -= 1
@@ -49,7 +49,7 @@
     return null
   }
 
-  /** Drops every second entry of the older half: old ages may be coarse, fresh ones may not. */
+  /** Drops every second entry of the older half: only recent ages need full resolution. */
   #thinOut(): void {
     const half = ENTRIES_KEPT / 2
     this.#entries = this.#entries.filter((_, index) => index >= half || index % 2 === 0)
--- a/packages/state/src/circuitBreaker.ts
+++ b/packages/state/src/circuitBreaker.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps requests away from a backend server that keeps failing.
+ * Circuit breaker that keeps requests away from a failing backend server.
  *
  * @internal
  */
@@ -18,9 +18,9 @@
 type BreakerState = 'closed' | 'open' | 'halfOpen'
 
 /**
- * Opens after consecutive failures. After a pause one question is let through; its answer closes
- * the breaker, its failure doubles the pause. The pause is jittered, so that the proxies of a fleet
- * do not all come back to a recovering server at once.
+ * Opens after consecutive failures. After a pause one position question is sent as a probe: an
+ * answer closes the breaker, a failure doubles the pause. The pause is jittered, so that the
+ * proxies of a fleet do not all return to a recovering server at once.
  */
 export class CircuitBreaker {
   readonly #random: RandomSource
@@ -37,12 +37,12 @@
     return this.#state === 'closed'
   }
 
-  /** When a question may be tried; null while the breaker is closed or a try is under way. */
+  /** When the next probe may be sent; null while the breaker is closed or a probe is open. */
   get probeAt(): Milliseconds | null {
     return this.#state === 'open' ? this.#probeAt : null
   }
 
-  /** Marks that the one question is under way. */
+  /** Marks the probe as sent. Does nothing unless the breaker is open. */
   startProbe(): void {
     if (this.#state === 'open') this.#state = 'halfOpen'
   }
--- a/packages/state/src/confirmationForecast.ts
+++ b/packages/state/src/confirmationForecast.ts
@@ -1,22 +1,22 @@
 /**
- * Foresees how long a write that ran now would wait for its confirmation.
+ * Predicts how long a write that runs now would wait for its confirmation.
  *
  * @internal
  */
 import type { BackendServerId, Milliseconds } from '@nutmegcourse/shared'
 import type { PositionTracker } from './positionTracker.js'
 
-/** Reports older than this say nothing about now. */
+/** Reports older than this are not used. */
 const STALE_MILLISECONDS = 3000
-/** Backlogs of fewer records are caught up in a blink; rates measured over them mean little. */
+/** Smaller backlogs are caught up almost at once, and rates measured over them are unreliable. */
 const LEAST_BACKLOG_RECORDS = 50
-/** A replica that makes no progress would be foreseen never to catch up. */
+/** Caps the forecast for a replica that makes no progress, which would otherwise be infinite. */
 const LONGEST_FORECAST_MILLISECONDS = 60_000
 
 /**
- * Milliseconds until a majority would hold a write of now, from each replica's backlog and the rate
- * at which it has been catching up; null when that is not known. Lack of data never refuses a
- * write: the forecast needs fresh reports of enough replicas and a rate measured over some time.
+ * Milliseconds until a majority would hold a write that runs now, from each replica's backlog and
+ * its rate of progress; null when that is not known. Missing data never causes a refusal: the
+ * forecast needs fresh reports of enough replicas and a rate measured over some time.
  */
 export function forecastConfirmation(
   tracker: PositionTracker,
--- a/packages/state/src/connectionKeeper.ts
+++ b/packages/state/src/connectionManager.ts
@@ -1,5 +1,5 @@
 /**
- * Opens and closes connections so that each pool has what its share, queue and state call for.
+ * Opens and closes connections so that each pool matches its share, queue and server state.
  *
  * @internal
  */
@@ -9,13 +9,13 @@
 import type { CoreContext } from './coreContext.js'
 import type { ConnectionId } from './proxyMessages.js'
 
-/** Kept open to every usable server without any traffic, so that the first request finds one. */
+/** Connections kept open to every usable server without traffic, so the first request finds one. */
 const WARM_CONNECTIONS = 1
 
-/** Who a connection belongs to, for the shell's words about it. */
+/** Maps a connection to the owner that handles the shell's messages about it. */
 export type ConnectionOwners<Owner> = Map<ConnectionId, Owner>
 
-export class ConnectionKeeper<Owner> {
+export class ConnectionManager<Owner> {
   readonly #context: CoreContext
   readonly #owners: ConnectionOwners<Owner>
   readonly #ownerOf: (server: BackendServer) => Owner
@@ -37,14 +37,14 @@
   }
 
   /**
-   * Brings the pool to what it should be. `waiting` requests could use a connection now; a server
-   * that `mayServe` no more loses its idle connections.
+   * Adjusts the size of the pool. `waiting` is the number of requests that could use a connection
+   * now; when `mayServe` is false, all idle connections are closed.
    */
   maintain(server: BackendServer, waiting: number, mayServe: boolean, now: Milliseconds): void {
     this.#closeExcess(server, !mayServe)
     if (!mayServe || !server.breaker.isClosed) return
     const warm = this.#context.stopping ? 0 : WARM_CONNECTIONS
-    for (let missing = server.pool.missing(waiting, warm, now); missing > 0; missing -= 1) {
+    for (let missing = server.pool.missingCount(waiting, warm, now); missing > 0; missing -= 1) {
       const id = this.#context.nextConnection()
       server.pool.addOpening(id)
       this.#owners.set(id, this.#ownerOf(server))
@@ -62,7 +62,7 @@
     for (const id of server.pool.ids()) this.close(server, id)
   }
 
-  /** Idle connections past the share go at once, busy ones when they are released. */
+  /** Closes idle connections past the share; busy ones are closed when they are released. */
   #closeExcess(server: BackendServer, keepNone: boolean): void {
     for (;;) {
       const excess = server.pool.excessIdle(keepNone)
--- a/packages/state/src/connectionPool.ts
+++ b/packages/state/src/connectionPool.ts
@@ -11,12 +11,12 @@
 export interface PooledConnection {
   readonly id: ConnectionId
   state: 'opening' | 'idle' | 'busy'
-  /** Who holds it, running or between two statements of a transaction. */
+  /** The request that holds it, running or between two statements of a transaction. */
   holder: ProxyRequest | null
 }
 
-/** After a refusal for want of connections, or a failure to connect. */
-const PAUSE_AFTER_FAILURE_MILLISECONDS = 50
+/** Pause before the next attempt after a failed one; doubles up to the longest. */
+const FIRST_PAUSE_MILLISECONDS = 50
 const LONGEST_PAUSE_MILLISECONDS = 1000
 
 export class ConnectionPool {
@@ -25,7 +25,7 @@
   readonly #random: RandomSource
   #share = 1
   #opening = 0
-  #pause = PAUSE_AFTER_FAILURE_MILLISECONDS
+  #pause = FIRST_PAUSE_MILLISECONDS
   #mayOpenAt: Milliseconds = milliseconds(0)
 
   constructor(random: RandomSource) {
@@ -52,7 +52,7 @@
     this.#share = share
   }
 
-  /** When a connection may be opened again after a failure. */
+  /** Earliest time for the next attempt to connect after a failure. */
   get mayOpenAt(): Milliseconds {
     return this.#mayOpenAt
   }
@@ -65,8 +65,8 @@
     return this.#connections.size < this.#share && now >= this.#mayOpenAt
   }
 
-  /** How many to open so that `waiting` requests find one each and at least `warm` stay ready. */
-  missing(waiting: number, warm: number, now: Milliseconds): number {
+  /** How many to open so that each of `waiting` requests gets one and at least `warm` exist. */
+  missingCount(waiting: number, warm: number, now: Milliseconds): number {
     if (now < this.#mayOpenAt) return 0
     const ready = this.#idle.length + this.#opening
     const wanted = Math.max(waiting - ready, warm - this.#connections.size)
@@ -82,12 +82,12 @@
     const connection = this.#connections.get(id)
     if (connection?.state !== 'opening') return false
     this.#opening -= 1
-    this.#pause = PAUSE_AFTER_FAILURE_MILLISECONDS
+    this.#pause = FIRST_PAUSE_MILLISECONDS
     this.#toIdle(connection)
     return true
   }
 
-  /** Keeps further attempts away for a jittered, doubling pause. */
+  /** Delays further attempts by a jittered, doubling pause. */
   failed(id: ConnectionId, now: Milliseconds): void {
     this.remove(id)
     this.#mayOpenAt = addMilliseconds(now, drawnApart(this.#pause, this.#random))
@@ -116,7 +116,7 @@
     return connection
   }
 
-  /** An idle connection that this proxy must give up: it has more than its share, or none may stay. */
+  /** An idle connection to close, because the pool exceeds its share or `keepNone` is set. */
   excessIdle(keepNone: boolean): PooledConnection | null {
     if (!keepNone && this.#connections.size <= this.#share) return null
     return this.#idle[0] ?? null
--- a/packages/state/src/coreContext.ts
+++ b/packages/state/src/coreContext.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of one core share.
+ * State and collaborators shared by the components of one core.
  *
  * @internal
  */
@@ -15,11 +15,11 @@
   readonly options: ProxyOptions
   readonly random: RandomSource
   readonly effects: EffectSink
-  readonly ledger: RequestLedger
+  readonly requests: RequestLedger
   readonly entryHosts: EntryHostCount
-  /** Grows with each message. */
+  /** Logical clock of the core; incremented by each message. */
   moment: Moment = 0
-  /** Nothing new is taken. */
+  /** Set by a `stop` message: new requests are refused. */
   stopping = false
   #lastConnection = 0
 
@@ -27,13 +27,13 @@
     options: ProxyOptions,
     random: RandomSource,
     effects: EffectSink,
-    ledger: RequestLedger,
+    requests: RequestLedger,
     entryHosts: EntryHostCount,
   ) {
     this.options = options
     this.random = random
     this.effects = effects
-    this.ledger = ledger
+    this.requests = requests
     this.entryHosts = entryHosts
   }
 
--- a/packages/state/src/database.ts
+++ b/packages/state/src/database.ts
@@ -1,15 +1,16 @@
 /**
- * The decisions for one database: joins its group, reads, writes, questions and connections.
+ * Makes the decisions for one database: coordinates its group, reads, writes, position questions
+ * and connections.
  *
  * @internal
  */
 import type { Milliseconds } from '@nutmegcourse/shared'
 import type { GroupRecord, GroupSnapshot, PositionReport, Targets } from '@nutmegcourse/protocol'
 import type { BackendServer } from './backendServer.js'
-import { ConnectionKeeper, type ConnectionOwners } from './connectionKeeper.js'
+import { ConnectionManager, type ConnectionOwners } from './connectionManager.js'
 import type { CoreContext } from './coreContext.js'
 import { DatabaseGroup } from './databaseGroup.js'
-import { DeadlineKeeper } from './deadlineKeeper.js'
+import { DeadlineEnforcer } from './deadlineEnforcer.js'
 import { Dispatcher } from './dispatcher.js'
 import type { ConnectFailure, ConnectionId } from './proxyMessages.js'
 import type { ProxyRequest } from './proxyRequest.js'
@@ -19,14 +20,14 @@
 import { SessionPositions } from './sessionPositions.js'
 import { WritePath } from './writePath.js'
 
-/** Where a connection belongs. */
+/** The database and the backend server that a connection belongs to. */
 export interface ConnectionOwner {
   readonly database: Database
   readonly server: BackendServer
 }
 
 const SHORTEST_INTERVAL_MILLISECONDS = 50
-/** A server is asked so often within the least age that a class accepts. */
+/** Position questions per server within the shortest data age that a class accepts. */
 const QUESTIONS_PER_FRESHNESS = 4
 
 export class Database {
@@ -36,10 +37,10 @@
   readonly writes: WritePath
   readonly #context: CoreContext
   readonly #questions: QuestionPlanner
-  readonly #keeper: ConnectionKeeper<ConnectionOwner>
+  readonly #connections: ConnectionManager<ConnectionOwner>
   readonly #dispatcher: Dispatcher<ConnectionOwner>
   readonly #outcomes: RequestOutcomes<ConnectionOwner>
-  readonly #deadlines: DeadlineKeeper
+  readonly #deadlines: DeadlineEnforcer
 
   constructor(
     record: GroupRecord,
@@ -55,11 +56,14 @@
     })
     this.writes = new WritePath(this.group, context, this.sessions)
     this.#questions = new QuestionPlanner(this.group, context)
-    this.#keeper = new ConnectionKeeper(context, owners, server => ({ database: this, server }))
+    this.#connections = new ConnectionManager(context, owners, server => ({
+      database: this,
+      server,
+    }))
     const { group, reads, writes } = this
-    this.#dispatcher = new Dispatcher(group, reads, writes, context, this.#keeper)
+    this.#dispatcher = new Dispatcher(group, reads, writes, context, this.#connections)
     this.#outcomes = new RequestOutcomes(group, reads, writes, context, this.#dispatcher)
-    this.#deadlines = new DeadlineKeeper(group, reads, writes, context)
+    this.#deadlines = new DeadlineEnforcer(group, reads, writes, context)
   }
 
   update(snapshot: GroupSnapshot, targets: Targets | null, now: Milliseconds): void {
@@ -67,36 +71,36 @@
     this.group.update(snapshot, now)
     this.#positionsChanged(now)
     for (const server of this.group.servers) {
-      this.#keeper.updateShare(server, now)
+      this.#connections.updateShare(server, now)
       if (server.isLeaving) this.#dispatcher.reroute(server, now)
       this.#dispatcher.dispatch(server, now)
     }
     this.#askDue(now)
   }
 
-  /** Takes only a newer record, from a snapshot that is otherwise out of date. */
+  /** Applies only a newer record, from a snapshot that is otherwise out of date. */
   updateRecord(record: GroupRecord, now: Milliseconds): void {
     this.group.updateRecord(record, now)
     this.#positionsChanged(now)
   }
 
   arrive(request: ProxyRequest, now: Milliseconds): void {
-    const { ledger, options } = this.#context
-    ledger.add(request)
+    const { requests, options } = this.#context
+    requests.add(request)
     if (this.waitingCount >= options.queueLimit) {
       const { latencyMilliseconds } = request.classState.targets
-      ledger.refuse(request, 'queue_full', { retryAfterMilliseconds: latencyMilliseconds })
+      requests.refuse(request, 'queue_full', { retryAfterMilliseconds: latencyMilliseconds })
       return
     }
     this.#outcomes.place(request, now)
-    // A request that waits for a connection alone learns nothing from a position.
+    // A request that only waits for a connection does not depend on positions.
     if (request.phase === 'awaitingServer' || this.writes.seeksLeader(now)) this.#askDue(now)
   }
 
   ran(request: ProxyRequest, outcome: RunOutcome, now: Milliseconds): void {
     this.#outcomes.ran(request, outcome, now)
     if (request.phase !== 'confirming') return
-    // With others waiting already, the far servers' questions are planned too.
+    // If other writes wait already, the questions to servers of other regions are scheduled too.
     if (this.writes.confirmingCount > 1 && this.#questions.isAskingNearby) return
     this.#askDue(now)
   }
@@ -126,7 +130,7 @@
     now: Milliseconds,
   ): void {
     server.pool.failed(id, now)
-    // A server that is full is well; the pool's own pause keeps this proxy from pressing it.
+    // A server at its connection limit is healthy; the pool's pause keeps this proxy from retrying.
     if (failure !== 'tooManyConnections') this.#recordFailure(server, now)
     this.#dispatcher.dispatch(server, now)
     this.#askDue(now)
@@ -135,7 +139,7 @@
   connectionClosed(server: BackendServer, id: ConnectionId, now: Milliseconds): void {
     const holder = server.pool.remove(id)?.holder ?? null
     if (holder !== null) this.#connectionLost(server, holder, now)
-    // A primary that was fenced closes its callers' connections: its position tells.
+    // A fenced primary closes its clients' connections; its position report shows whether it was.
     server.isQuestionUrgent = true
     this.#dispatcher.dispatch(server, now)
     this.#askDue(now)
@@ -152,8 +156,8 @@
     const { tracker } = this.group
     const before = tracker.reportOf(server.id)
     tracker.record(server.id, report, question.askedAt, question.moment)
-    server.adaptPace(before === null || isChanged(before, report))
-    server.reportedAfterRefusal(question.moment)
+    server.adaptQuestionInterval(before === null || isChanged(before, report))
+    server.clearWriteRefusal(question.moment)
     server.breaker.recordSuccess()
     this.#reportHealth(server, 'reachable')
     this.#positionsChanged(now)
@@ -166,15 +170,16 @@
     this.#askDue(now)
   }
 
-  /** Does what has become due: deadlines, questions, connections that may be tried again. */
+  /** Handles everything that is due: deadlines, questions, retries of connections. */
   tick(now: Milliseconds): void {
     this.group.findLeader(now)
     this.writes.settle(now)
     this.#deadlines.expire(now)
     this.reads.reevaluate(now)
     for (const server of this.group.servers) {
-      this.#keeper.updateShare(server, now)
-      for (const request of this.#deadlines.overdue(server, now)) this.#giveUp(request, server, now)
+      this.#connections.updateShare(server, now)
+      for (const request of this.#deadlines.overdue(server, now))
+        this.#endOverdue(request, server, now)
       this.#dispatcher.dispatch(server, now)
     }
     this.#askDue(now)
@@ -194,7 +199,7 @@
   }
 
   closeAll(): void {
-    for (const server of this.group.servers) this.#keeper.closeAll(server)
+    for (const server of this.group.servers) this.#connections.closeAll(server)
   }
 
   #positionsChanged(now: Milliseconds): void {
@@ -206,28 +211,29 @@
   }
 
   #askDue(now: Milliseconds): void {
-    this.#questions.ask({ ...this.reads.wants(), ...this.writes.wants(now) }, now)
+    this.#questions.ask({ ...this.reads.positionDemand(), ...this.writes.positionDemand(now) }, now)
   }
 
-  /** Its running request is settled by the shell's next word; an open transaction is over. */
+  /** A running request is settled by the shell's next message; an open transaction is over. */
   #connectionLost(server: BackendServer, holder: ProxyRequest, now: Milliseconds): void {
     holder.connection = null
-    if (holder.phase === 'inTransaction') this.#context.ledger.finish(holder)
+    if (holder.phase === 'inTransaction') this.#context.requests.finish(holder)
     this.#recordFailure(server, now)
   }
 
   /**
-   * A server that went silent holds a request past its deadline. Closing the connection makes the
-   * shell report it broken, and what may be repeated goes elsewhere; a write gets its answer now.
+   * Ends a request that a server has held for too long. Closing the connection makes the shell
+   * report the request as broken, after which a repeatable one is retried on another server. A
+   * request that can not be repeated, or is past its run limit, is refused now.
    */
-  #giveUp(request: ProxyRequest, server: BackendServer, now: Milliseconds): void {
+  #endOverdue(request: ProxyRequest, server: BackendServer, now: Milliseconds): void {
     const mayRepeat = request.classState.targets.idempotent && !request.isContinued
     if (mayRepeat && !this.#deadlines.isPastRunLimit(request, now)) {
-      if (request.connection !== null) this.#keeper.close(server, request.connection.id)
+      if (request.connection !== null) this.#connections.close(server, request.connection.id)
       request.connection = null
       return
     }
-    this.#context.ledger.refuse(request, 'deadline_while_running')
+    this.#context.requests.refuse(request, 'deadline_while_running')
     this.#dispatcher.drop(request)
     this.#dispatcher.dispatch(server, now)
   }
@@ -247,7 +253,7 @@
   }
 }
 
-/** How often servers are asked without any request: often enough for the strictest class. */
+/** Milliseconds between questions without any request, short enough for the strictest class. */
 function backgroundInterval(targets: Targets | null): number {
   let interval = LONGEST_INTERVAL_MILLISECONDS
   for (const { access, freshnessMilliseconds } of targets?.classes ?? []) {
--- a/packages/state/src/deadlineKeeper.ts
+++ b/packages/state/src/deadlineEnforcer.ts
@@ -1,23 +1,24 @@
 /**
- * Ends requests whose deadline has passed, and says why.
+ * Refuses requests whose deadline has passed, and determines the reason.
  *
  * @internal
  */
 import { addMilliseconds, type Milliseconds, type Reason } from '@nutmegcourse/shared'
 import type { BackendServer } from './backendServer.js'
 import type { CoreContext } from './coreContext.js'
-import { SILENCE_LIMIT_MILLISECONDS, type DatabaseGroup } from './databaseGroup.js'
+import { UNRESPONSIVE_AFTER_MILLISECONDS, type DatabaseGroup } from './databaseGroup.js'
 import type { ProxyRequest } from './proxyRequest.js'
 import type { ReadPath } from './readPath.js'
 import type { RequestQueue } from './requestQueue.js'
 import type { WritePath } from './writePath.js'
 
-/** How often requests that run are compared with their deadlines. */
+/** Interval for checking running requests against their deadlines. */
 const RUNNING_CHECK_MILLISECONDS = 250
 
+/** A request may run for this multiple of its class's latency, or for the run limit if longer. */
 const RUN_LIMIT_IN_LATENCIES = 10
 
-export class DeadlineKeeper {
+export class DeadlineEnforcer {
   readonly #group: DatabaseGroup
   readonly #reads: ReadPath
   readonly #writes: WritePath
@@ -30,7 +31,7 @@
     this.#context = context
   }
 
-  /** Refuses what waited too long, unless a change of primary makes a longer wait worthwhile. */
+  /** Refuses waiting requests past their deadline, or extends it during a change of primary. */
   expire(now: Milliseconds): void {
     this.#expireQueue(this.#writes.queue, () => this.#writeReason(now), now)
     for (const server of this.#group.servers) {
@@ -42,19 +43,20 @@
     }
   }
 
-  /** Requests that a server holds for too long. */
+  /** Running requests that the server has held for too long. */
   overdue(server: BackendServer, now: Milliseconds): ProxyRequest[] {
     if (server.pool.busyCount === 0) return []
-    const isSilent = server.isSilent(now, SILENCE_LIMIT_MILLISECONDS) || !server.breaker.isClosed
+    const isUnresponsive =
+      server.isUnresponsive(now, UNRESPONSIVE_AFTER_MILLISECONDS) || !server.breaker.isClosed
     return server.pool.holders().filter(request => {
       if (request.phase !== 'running') return false
-      return (isSilent && this.#isLate(request, now)) || this.isPastRunLimit(request, now)
+      return (isUnresponsive && this.#isOverdue(request, now)) || this.isPastRunLimit(request, now)
     })
   }
 
   /**
-   * No question tells of a connection that hangs by itself, as after a lost packet with no timeout
-   * behind it; without a limit its request would never be answered.
+   * Position questions do not reveal a single connection that hangs, as after a lost packet that
+   * no timeout covers; without a limit its request would never be answered.
    */
   isPastRunLimit({ startedAt, classState }: ProxyRequest, now: Milliseconds): boolean {
     const { runLimitMilliseconds } = this.#context.options
@@ -62,11 +64,11 @@
     return now >= addMilliseconds(startedAt, Math.max(runLimitMilliseconds, byClass))
   }
 
-  /** Whether a request on a silent server has waited long enough. */
-  #isLate({ startedAt, classState }: ProxyRequest, now: Milliseconds): boolean {
+  /** Whether a request on an unresponsive server has run past the time it may wait there. */
+  #isOverdue({ startedAt, classState }: ProxyRequest, now: Milliseconds): boolean {
     const { idempotent, latencyMilliseconds } = classState.targets
     const { failoverPatienceMilliseconds } = this.#context.options
-    // What can not be repeated waits longer: the server may yet answer, and then it is known.
+    // A request that can not be repeated waits longer: a late answer still tells its outcome.
     const limit = idempotent
       ? latencyMilliseconds
       : Math.max(latencyMilliseconds, failoverPatienceMilliseconds)
@@ -95,13 +97,13 @@
   }
 
   /**
-   * Puts the deadline off once while the database has no usable primary. Callers can not be
-   * rewritten: for them an answer after the change is worth more than a refusal during it.
+   * Extends the deadline once while the database has no usable primary. Existing callers can not
+   * be changed to retry: an answer after the change serves them better than a refusal during it.
    */
   #extend(request: ProxyRequest, now: Milliseconds): boolean {
     if (request.extended || !this.#group.isPrimaryInDoubt(now)) return false
-    const patience = this.#context.options.failoverPatienceMilliseconds
-    const deadline = addMilliseconds(request.arrivedAt, patience)
+    const limit = this.#context.options.failoverPatienceMilliseconds
+    const deadline = addMilliseconds(request.arrivedAt, limit)
     if (deadline <= now) return false
     request.extended = true
     request.deadline = deadline
@@ -110,7 +112,7 @@
 
   #refuse(request: ProxyRequest, reason: Reason): void {
     const { latencyMilliseconds } = request.classState.targets
-    this.#context.ledger.refuse(request, reason, { retryAfterMilliseconds: latencyMilliseconds })
+    this.#context.requests.refuse(request, reason, { retryAfterMilliseconds: latencyMilliseconds })
   }
 
   #writeReason(now: Milliseconds): Reason {
@@ -123,7 +125,7 @@
   }
 
   #readReason(read: ProxyRequest): Reason {
-    if (read.need === null) return 'no_bound'
+    if (read.required === null) return 'no_bound'
     const { replicaReadShare } = read.classState.targets
     if (replicaReadShare === 0 && this.#group.leader === null) return 'no_primary'
     return 'no_fresh_replica'
--- a/packages/state/src/dispatcher.ts
+++ b/packages/state/src/dispatcher.ts
@@ -1,11 +1,11 @@
 /**
- * Matches requests that wait with connections that are idle.
+ * Assigns waiting requests to idle connections.
  *
  * @internal
  */
 import type { Milliseconds } from '@nutmegcourse/shared'
 import type { BackendServer } from './backendServer.js'
-import type { ConnectionKeeper } from './connectionKeeper.js'
+import type { ConnectionManager } from './connectionManager.js'
 import type { CoreContext } from './coreContext.js'
 import type { DatabaseGroup } from './databaseGroup.js'
 import { isWrite, type ProxyRequest } from './proxyRequest.js'
@@ -13,8 +13,9 @@
 import type { WritePath } from './writePath.js'
 
 /**
- * A request that hung through a network partition says nothing of how long others take; uncapped,
- * one of them would have later ones refused as hopeless.
+ * Caps service-time samples at this multiple of the class's latency. A request that hung through a
+ * network partition does not show how long others take; uncapped, one such sample would cause
+ * later requests to be refused as predicted late.
  */
 const LONGEST_SAMPLE_IN_LATENCIES = 2
 
@@ -23,23 +24,23 @@
   readonly #reads: ReadPath
   readonly #writes: WritePath
   readonly #context: CoreContext
-  readonly #keeper: ConnectionKeeper<Owner>
+  readonly #connections: ConnectionManager<Owner>
 
   constructor(
     group: DatabaseGroup,
     reads: ReadPath,
     writes: WritePath,
     context: CoreContext,
-    keeper: ConnectionKeeper<Owner>,
+    connections: ConnectionManager<Owner>,
   ) {
     this.#group = group
     this.#reads = reads
     this.#writes = writes
     this.#context = context
-    this.#keeper = keeper
+    this.#connections = connections
   }
 
-  /** Runs a read on the server chosen for it at once, or queues it there. */
+  /** Runs a read on its chosen server, or queues it there when no connection is free. */
   submitRead(server: BackendServer, read: ProxyRequest, now: Milliseconds): void {
     if (this.#isFree(server)) {
       this.#run(read, server, now)
@@ -50,7 +51,7 @@
     this.dispatch(server, now)
   }
 
-  /** Runs a write on the leader at once, or queues it until there is one with a connection. */
+  /** Runs a write on the leader, or queues it until a leader has a free connection. */
   submitWrite(write: ProxyRequest, now: Milliseconds): void {
     const { leader } = this.#group
     const isWritable = leader !== null && this.#group.isWritable(now)
@@ -63,7 +64,7 @@
     if (isWritable) this.dispatch(leader, now)
   }
 
-  /** Starts what waits for this server while it has idle connections; opens more for the rest. */
+  /** Starts waiting requests on the server's idle connections; opens connections for the rest. */
   dispatch(server: BackendServer, now: Milliseconds): void {
     while (server.pool.idleCount > 0) {
       const request = this.#next(server, now)
@@ -73,10 +74,10 @@
     const waiting =
       server.reads.size + (this.#takesWrites(server, now) ? this.#writes.queue.size : 0)
     const mayServe = !server.isLeaving || this.#takesWrites(server, now)
-    this.#keeper.maintain(server, waiting, mayServe, now)
+    this.#connections.maintain(server, waiting, mayServe, now)
   }
 
-  /** Starts what can start on any server with a queue. */
+  /** Dispatches on every server with queued requests. */
   dispatchQueued(now: Milliseconds): void {
     const { leader, servers } = this.#group
     for (const server of servers) {
@@ -85,25 +86,25 @@
     }
   }
 
-  /** Gives the request's connection back to its pool. */
+  /** Returns the request's connection to its pool and records how long it was held. */
   release(request: ProxyRequest, now: Milliseconds): BackendServer | null {
     const { server, connection } = request
     request.connection = null
     if (server === null) return null
     const longest = request.classState.targets.latencyMilliseconds * LONGEST_SAMPLE_IN_LATENCIES
-    server.service.record(Math.min(now - request.startedAt, longest), now)
+    server.serviceEstimate.record(Math.min(now - request.startedAt, longest), now)
     if (connection !== null) server.pool.release(connection)
     return server
   }
 
-  /** Closes the request's connection: an answer that may still come must meet no other request. */
+  /** Closes the request's connection, so that a late answer can not reach another request. */
   drop(request: ProxyRequest): void {
     const { server, connection } = request
     request.connection = null
-    if (server !== null && connection !== null) this.#keeper.close(server, connection.id)
+    if (server !== null && connection !== null) this.#connections.close(server, connection.id)
   }
 
-  /** Sends the reads that wait for a server elsewhere. */
+  /** Places the reads queued at this server again, preferring other servers. */
   reroute(server: BackendServer, now: Milliseconds): void {
     for (const read of server.reads.drain()) {
       read.avoid = server
@@ -111,7 +112,7 @@
     }
   }
 
-  /** Whether a request may run without passing others that wait. */
+  /** Whether a new request may run now without overtaking queued ones. */
   #isFree(server: BackendServer): boolean {
     if (server.pool.idleCount === 0 || server.reads.size > 0) return false
     return server !== this.#group.leader || this.#writes.queue.size === 0
@@ -121,7 +122,7 @@
     return server === this.#group.leader && this.#group.isWritable(now)
   }
 
-  /** Takes the earliest deadline among the reads of this server and, if it leads, the writes. */
+  /** Takes the earliest deadline among this server's reads and, on the leader, the writes. */
   #next(server: BackendServer, now: Milliseconds): ProxyRequest | null {
     for (;;) {
       const read = server.reads.peek()
--- a/packages/state/src/effectSink.ts
+++ b/packages/state/src/effectSink.ts
@@ -1,5 +1,5 @@
 /**
- * Collects the effects of one message.
+ * Collects the effects that one message produces.
  *
  * @internal
  */
@@ -24,7 +24,7 @@
     this.#effects.push({ kind: 'count', counter, tags })
   }
 
-  /** A refusal and its counter, `refusal.<reason>`. */
+  /** Adds a refusal and increments its counter, `refusal.<reason>`. */
   refuse(request: RequestId, refusal: Refusal, tags: Tags): void {
     this.#effects.push({ kind: 'refuse', request, refusal })
     this.count(refusalCounter(refusal.reason), tags)
--- a/packages/state/src/explanation.ts
+++ b/packages/state/src/explanation.ts
@@ -1,4 +1,4 @@
-/** Tells operators why requests go where they go. */
+/** Explains routing decisions to operators. */
 import type { BackendServerId, ClassName, DatabaseId, Milliseconds } from '@nutmegcourse/shared'
 import { formatPosition, type SessionId } from '@nutmegcourse/shared'
 import type { BackendServer } from './backendServer.js'
@@ -12,7 +12,7 @@
   | { readonly kind: 'session'; readonly database: DatabaseId; readonly session: SessionId }
   | { readonly kind: 'server'; readonly server: BackendServerId }
 
-const DISTANCES = ['same zone', 'same region', 'past the paid link'] as const
+const DISTANCES = ['same zone', 'same region', 'another region'] as const
 
 export function explainRouting(
   question: RoutingQuestion,
@@ -30,7 +30,7 @@
   classes: ReadonlyMap<ClassName, ClassState>,
   now: Milliseconds,
 ): readonly string[] {
-  if (question.kind === 'server') return explainServerOf(question.server, databases, now)
+  if (question.kind === 'server') return explainServerById(question.server, databases, now)
   const database = databases.get(question.database)
   if (database === undefined) return ['this proxy knows no such database']
   switch (question.kind) {
@@ -40,7 +40,7 @@
       return explainClass(database, classes.get(question.class), now)
     case 'session':
       return [
-        `reads of the session need at least ${formatPosition(database.sessions.needOf(question.session))}`,
+        `reads of the session need at least ${formatPosition(database.sessions.requiredPosition(question.session))}`,
         'a session that roams also needs a bound asked after each arrival',
         ...explainDatabase(database, now),
       ]
@@ -75,13 +75,13 @@
       const age = now - database.group.tracker.freshAsOf(server.id)
       if (!server.isUsable) return `${server.id}: not used (${usability(server)})`
       if (freshness === 0) return `${server.id}: used when past a bound asked after the arrival`
-      const verdict = age <= freshness ? 'fresh enough' : 'too old'
-      return `${server.id}: ${verdict}, at most ${formatAge(age)} old of ${freshness} ms`
+      const assessment = age <= freshness ? 'fresh enough' : 'too old'
+      return `${server.id}: ${assessment}, at most ${formatAge(age)} old of ${freshness} ms`
     }),
   ]
 }
 
-function explainServerOf(
+function explainServerById(
   id: BackendServerId,
   databases: ReadonlyMap<DatabaseId, Database>,
   now: Milliseconds,
--- a/packages/state/src/mergeSnapshot.ts
+++ b/packages/state/src/mergeSnapshot.ts
@@ -1,41 +1,44 @@
-/** Joins an agent's news to what its proxy knows already. */
+/** Merges a snapshot from an agent into the state that its proxy already has. */
 import type { GroupSnapshot, RoutingSnapshot, VersionedTargets } from '@nutmegcourse/protocol'
 
 /**
- * An agent that was just restarted sends what it has learned so far: perhaps no targets, a group
- * without backend servers, or no groups at all. Taken at its word, its proxies would refuse callers
- * that they served a moment ago. What such a snapshot lacks is therefore kept from the last one, and
- * nothing that carries a version or term goes back. A group or server that truly went away is kept
- * too long at worst: its servers stop answering and get no work.
+ * A restarted agent sends what it has learned so far: perhaps no targets, a group without backend
+ * servers, or no groups at all. Proxies that replaced their state by this would refuse callers that
+ * they served a moment ago. Whatever such a snapshot lacks is therefore kept from the previous one,
+ * and nothing with a version or term reverts to an older one. At worst a group or server that was
+ * removed is kept for too long: its servers stop answering and get no requests.
  */
 export function mergeSnapshot(
-  last: RoutingSnapshot | null,
-  news: RoutingSnapshot,
+  previous: RoutingSnapshot | null,
+  received: RoutingSnapshot,
 ): RoutingSnapshot {
-  if (last === null) return news
-  const told = new Map(news.groups.map(group => [group.record.database, group]))
-  const kept = last.groups.filter(group => !told.has(group.record.database))
-  const known = new Map(last.groups.map(group => [group.record.database, group]))
-  const merged = news.groups.map(group => mergeGroup(known.get(group.record.database), group))
+  if (previous === null) return received
+  const receivedGroups = new Map(received.groups.map(group => [group.record.database, group]))
+  const kept = previous.groups.filter(group => !receivedGroups.has(group.record.database))
+  const previousGroups = new Map(previous.groups.map(group => [group.record.database, group]))
+  const merged = received.groups.map(group =>
+    mergeGroup(previousGroups.get(group.record.database), group),
+  )
   return {
-    ...news,
-    targets: newerTargets(last.targets, news.targets),
+    ...received,
+    targets: newerTargets(previous.targets, received.targets),
     groups: [...merged, ...kept],
   }
 }
 
 function newerTargets(
-  last: VersionedTargets | null,
-  news: VersionedTargets | null,
+  previous: VersionedTargets | null,
+  received: VersionedTargets | null,
 ): VersionedTargets | null {
-  if (last === null || news === null) return news ?? last
-  return news.version >= last.version ? news : last
+  if (previous === null || received === null) return received ?? previous
+  return received.version >= previous.version ? received : previous
 }
 
-function mergeGroup(last: GroupSnapshot | undefined, news: GroupSnapshot): GroupSnapshot {
-  if (last === undefined) return news
+function mergeGroup(previous: GroupSnapshot | undefined, received: GroupSnapshot): GroupSnapshot {
+  if (previous === undefined) return received
   return {
-    record: news.record.term >= last.record.term ? news.record : last.record,
-    backendServers: news.backendServers.length > 0 ? news.backendServers : last.backendServers,
+    record: received.record.term >= previous.record.term ? received.record : previous.record,
+    backendServers:
+      received.backendServers.length > 0 ? received.backendServers : previous.backendServers,
   }
 }
--- a/packages/state/src/pendingConfirmations.ts
+++ b/packages/state/src/pendingConfirmations.ts
@@ -1,5 +1,5 @@
 /**
- * Writes that ran and wait until a majority is known to hold them.
+ * Tracks writes that ran and wait until a majority is known to hold them.
  *
  * @internal
  */
@@ -17,9 +17,9 @@
   readonly expiresAt: Milliseconds
 }
 
-export type Verdict =
+export type SettledWrite =
   | { readonly kind: 'confirmed'; readonly write: PendingWrite }
-  /** A later term that a majority holds has left it out: it never comes back. */
+  /** The log of a later term, which a majority holds, does not contain it: the loss is final. */
   | { readonly kind: 'rolledBack'; readonly write: PendingWrite }
   | { readonly kind: 'expired'; readonly write: PendingWrite }
 
@@ -50,34 +50,40 @@
     return earliest
   }
 
-  /** Takes out every write whose fate is known by what the servers reported. */
-  settle(tracker: PositionTracker, termStarts: readonly TermStart[], now: Milliseconds): Verdict[] {
+  /** Removes and returns the writes that expired or whose outcome the position reports decide. */
+  settle(
+    tracker: PositionTracker,
+    termStarts: readonly TermStart[],
+    now: Milliseconds,
+  ): SettledWrite[] {
     if (this.#writes.length === 0) return []
-    const verdicts: Verdict[] = []
+    const settled: SettledWrite[] = []
     this.#writes = this.#writes.filter(write => {
-      const fate = fateOf(write, tracker, termStarts)
-      const kind = fate ?? (now >= write.expiresAt ? 'expired' : null)
-      if (kind !== null) verdicts.push({ kind, write })
+      const outcome = fateOf(write, tracker, termStarts)
+      const kind = outcome ?? (now >= write.expiresAt ? 'expired' : null)
+      if (kind !== null) settled.push({ kind, write })
       return kind === null
     })
-    return verdicts
+    return settled
   }
 }
 
 /**
- * Decides one write's fate by the reports of one moment.
+ * Decides a write's outcome from the newest position reports; null while it is open.
  *
- * Confirmed, by its own term: a majority, its primary included, held it while their logs ended in
- * that term and they were fenced at none later. Whoever fences a majority for a later term meets
- * one of them and starts at or past it. A server that is fenced later gives no such promise: it may
- * hold the write as a copy from a later primary, which a third term can outrank.
+ * Confirmed by its own term: a majority, including its primary, held it while their logs ended in
+ * that term and none was fenced at a later one. A coordinator that fences a majority for a later
+ * term reaches one of these servers, so the later term starts at or past the write. A server that
+ * is fenced at a later term does not count: it may hold the write as a copy from a later primary,
+ * which a third term can outrank.
  *
- * By a later term: once a majority's logs end in term L, its fence, every later primary is chosen among a
- * fenced majority that meets it, so its log begins with L's. What L's log holds is then held for
- * good, and what it left out can never be added in front of L's opening record: such a write "did
- * not run". Before a majority holds L both are open: L may still fail, and a server that lacks L
- * but holds the write may be chosen for the term after it. (Until the replaced primary follows the
- * new one, a read there may see the write; that read is held to positions, not to the write.)
+ * Decided by a later term: once the logs of a majority end in term L, at which they are fenced,
+ * every later primary is chosen from a fenced majority that overlaps with it, so its log begins
+ * with L's. What L's log contains is then permanent, and what it lacks can never be inserted before
+ * L's opening record: such a write "did not run". Before a majority holds L both outcomes are open:
+ * L may still fail, and a server that lacks L but holds the write may be chosen for the term after
+ * it. (Until the replaced primary follows the new one, a read there may see the write; such a read
+ * is only guaranteed its required position, not the write.)
  */
 export function fateOf(
   { position, primary }: PendingWrite,
--- a/packages/state/src/positionTracker.ts
+++ b/packages/state/src/positionTracker.ts
@@ -1,12 +1,13 @@
 /**
- * What the backend servers of one database have said about their logs, and what follows from it.
+ * Tracks the log positions that the backend servers of one database report, and derives bounds,
+ * data ages and confirmations from them.
  *
- * Three facts carry the proxy's promises:
+ * The proxy's guarantees rest on three facts:
  * - an acknowledged write is held by a majority of the group, so among the answers of any majority
  *   that was asked after the acknowledgement at least one is at or past it;
  * - positions order logs: of two logs, the one at the greater position holds every acknowledged
  *   write that the other holds (terms are opened by a majority that holds them all);
- * - a server's position only grows, but for records that no majority ever held.
+ * - a server's position only grows, except for records that no majority ever held.
  *
  * @internal
  */
@@ -25,7 +26,10 @@
 import { BoundHistory, NEVER } from './boundHistory.js'
 import { ProgressRate } from './progressRate.js'
 
-/** Counts the messages that a core has handled; orders questions and arrivals of equal times. */
+/**
+ * Logical time: the number of messages that a core has handled. Orders questions and arrivals that
+ * have the same clock time.
+ */
 export type Moment = number
 
 interface TrackedServer {
@@ -37,11 +41,11 @@
   readonly progress: ProgressRate
 }
 
-/** How far a replica has come, and how fast it comes on. */
+/** A replica's log position and rate of progress. */
 export interface ReplicaProgress {
   readonly position: LogPosition
   readonly askedAt: Milliseconds
-  /** Null until it was measured over long enough. */
+  /** Null until measured over a long enough span. */
   readonly recordsPerSecond: number | null
 }
 
@@ -51,9 +55,9 @@
   readonly offset: LogOffset
 }
 
-/** Below every offset: a group whose other servers are unknown confirms nothing. */
+/** Below every offset: nothing is confirmed while the other servers' positions are unknown. */
 const NOTHING_CONFIRMED = -1
-/** A group of one server: what it ran is held by the majority that it alone is. */
+/** In a group of one server the primary is a majority by itself: all that it ran is confirmed. */
 const ALL_CONFIRMED = Number.MAX_SAFE_INTEGER
 
 export class PositionTracker {
@@ -61,12 +65,12 @@
   readonly #byId = new Map<BackendServerId, TrackedServer>()
   readonly #history = new BoundHistory()
   #groupSize = 0
-  /** Kept between reports: each write that runs asks for them. */
+  /** Cached between reports, because each write that runs looks it up. */
   #confirmed: ConfirmedOffset | null = null
   #majorityTerm: Term | null = null
   #version = 0
 
-  /** Sets the servers that may be asked, and how many the group has in all. */
+  /** Sets the servers that may be asked, and the total number of members of the group. */
   setServers(ids: readonly BackendServerId[], groupSize: number): void {
     const kept = new Set(ids)
     for (const id of this.#byId.keys()) if (!kept.has(id)) this.#byId.delete(id)
@@ -81,7 +85,7 @@
     this.#majorityTerm = this.#findMajorityTerm()
   }
 
-  /** Grows with each report and each change of members. */
+  /** Incremented by each report and each change of members. */
   get version(): number {
     return this.#version
   }
@@ -90,7 +94,7 @@
     return majorityOf(this.#groupSize)
   }
 
-  /** Takes a server's answer; one to an earlier question than the last is ignored. */
+  /** Records a server's answer; ignores an answer to an older question than the newest answered. */
   record(
     server: BackendServerId,
     report: PositionReport,
@@ -143,9 +147,10 @@
   }
 
   /**
-   * The least position known to cover every write acknowledged before `moment`: null until a
-   * majority has answered questions sent at or after it. Any majority will do, so the one with the
-   * least greatest position is taken: with both replicas' answers in, one of them always qualifies.
+   * The least position known to cover every write acknowledged before `moment`; null until a
+   * majority has answered questions sent at or after it. Any majority gives a valid bound, so the
+   * one with the lowest maximum position is used: once both replicas have answered, one of them
+   * always qualifies.
    */
   boundAskedSince(moment: Moment): LogPosition | null {
     const positions: LogPosition[] = []
@@ -157,25 +162,26 @@
   }
 
   /**
-   * Every write acknowledged before this time is on the server: its data is at most `now` minus
-   * this old. Depends on questions alone, so it stays known when callers send nothing.
+   * Every write acknowledged before this time is on the server, so the age of its data is at most
+   * `now` minus this time. Depends only on position questions, so it stays known without traffic.
    */
   freshAsOf(server: BackendServerId): Milliseconds {
     return this.#byId.get(server)?.freshAsOf ?? NEVER
   }
 
-  /** Whether the server is known to hold everything up to `need`. */
-  isAtOrPast(server: BackendServerId, need: LogPosition): boolean {
+  /** Whether the server is known to hold everything up to `required`. */
+  isAtOrPast(server: BackendServerId, required: LogPosition): boolean {
     const report = this.#byId.get(server)?.report ?? null
-    return report !== null && isAtOrPast(report.position, need)
+    return report !== null && isAtOrPast(report.position, required)
   }
 
   /**
    * The offset up to which a majority holds the log of `term`, given that `primary` itself ran it.
-   * Only servers whose log ends in that very term count: a log that ends in another term may hold
-   * other records at the same offsets, as those of a primary that was replaced do. And none counts
-   * that is fenced past it: such a server may be copying the term's records from a later primary,
-   * and a third term may still be won by a log without them (docs/design/05-admission.md).
+   * Only servers whose log ends in that same term count: a log that ends in another term may hold
+   * other records at the same offsets, like the log of a replaced primary. A server that is fenced
+   * at a later term does not count either: it may be copying the term's records from a later
+   * primary, and a third term may still be won by a log without them
+   * (docs/design/05-admission.md).
    */
   confirmedOffset(term: Term, primary: BackendServerId): LogOffset {
     const known = this.#confirmed
@@ -185,7 +191,7 @@
     return offset
   }
 
-  /** The term at which a majority's logs end and fences stand; null while there is none. */
+  /** The term at which the logs of a majority end and are fenced; null while there is none. */
   get majorityTerm(): Term | null {
     return this.#majorityTerm
   }
@@ -205,17 +211,17 @@
 
   #findMajorityTerm(): Term | null {
     for (const { report } of this.#servers) {
-      if (report === null || !standsAtItsTerm(report)) continue
+      if (report === null || !isFencedAtOwnTerm(report)) continue
       const { term } = report.position
       const count = this.#servers.filter(
-        each => each.report?.position.term === term && standsAtItsTerm(each.report),
+        each => each.report?.position.term === term && isFencedAtOwnTerm(each.report),
       ).length
       if (count >= this.majority) return term
     }
     return null
   }
 
-  /** One bound for each number of newest answers that makes a majority. */
+  /** Adds one bound for each set of newest answers that is large enough for a majority. */
   #extendHistory(): void {
     const newestFirst = this.#servers
       .filter(tracked => tracked.report !== null)
@@ -231,8 +237,8 @@
   }
 }
 
-/** Whether its log ends in the term at which it is fenced: it does not copy an older term's log. */
-const standsAtItsTerm = (report: PositionReport): boolean =>
+/** Whether the server is fenced at the term its log ends in, so it copies no older term's log. */
+const isFencedAtOwnTerm = (report: PositionReport): boolean =>
   report.fencedTerm === report.position.term
 
 function newServer(id: BackendServerId): TrackedServer {
--- a/packages/state/src/progressRate.ts
+++ b/packages/state/src/progressRate.ts
@@ -1,11 +1,11 @@
 /**
- * How fast a log grows.
+ * Measures the growth rate of a log.
  *
  * @internal
  */
 import type { LogPosition, Milliseconds } from '@nutmegcourse/shared'
 
-/** Rates over shorter spans jump with each batch of records. */
+/** Rates over shorter spans fluctuate with each batch of records. */
 const LEAST_SPAN_MILLISECONDS = 200
 const WEIGHT_OF_NEWEST = 0.5
 
@@ -13,7 +13,7 @@
   #from: { readonly position: LogPosition; readonly at: Milliseconds } | null = null
   #rate: number | null = null
 
-  /** Null until the log was seen over a long enough span of one term. */
+  /** Null until the log has been observed over a long enough span of one term. */
   get recordsPerSecond(): number | null {
     return this.#rate
   }
--- a/packages/state/src/proxyCore.ts
+++ b/packages/state/src/proxyCore.ts
@@ -1,10 +1,13 @@
-/** The proxy's decision core: one object, one message in, effects out. */
+/**
+ * The proxy's decision core: a state machine that takes one message at a time and returns effects.
+ * It does no I/O and sets no timers.
+ */
 import type { BackendServerId, DatabaseId, Milliseconds, RandomSource } from '@nutmegcourse/shared'
 import type { ClassName, RequestId } from '@nutmegcourse/shared'
 import { assertNever } from '@nutmegcourse/shared'
 import type { RoutingSnapshot, VersionedTargets } from '@nutmegcourse/protocol'
 import { EntryHostCount } from './connectionShare.js'
-import type { ConnectionOwners } from './connectionKeeper.js'
+import type { ConnectionOwners } from './connectionManager.js'
 import { CoreContext } from './coreContext.js'
 import { Database, type ConnectionOwner } from './database.js'
 import { EffectSink } from './effectSink.js'
@@ -29,18 +32,18 @@
   constructor(options: ProxyPlace & Partial<ProxyOptions>, random: RandomSource) {
     const filled = proxyOptions(options)
     const effects = new EffectSink()
-    const ledger = new RequestLedger(effects)
-    this.#context = new CoreContext(filled, random, effects, ledger, new EntryHostCount(filled))
+    const requests = new RequestLedger(effects)
+    this.#context = new CoreContext(filled, random, effects, requests, new EntryHostCount(filled))
   }
 
   handle(message: ProxyMessage, now: Milliseconds): readonly ProxyEffect[] {
     this.#context.moment += 1
-    this.#take(message, now)
+    this.#process(message, now)
     if (this.#context.stopping) this.#finishStop()
     return this.#context.effects.take()
   }
 
-  /** When `tick` is due; null while nothing waits for time to pass. */
+  /** When the next `tick` message is due; null while nothing depends on time. */
   nextWake(now: Milliseconds): Milliseconds | null {
     let next: number = this.#context.entryHosts.nextGrowthAt(now) ?? Number.POSITIVE_INFINITY
     for (const database of this.#databases.values()) {
@@ -50,12 +53,12 @@
     return Math.max(next, now) as Milliseconds
   }
 
-  /** Why requests go where they go, for operators. */
+  /** Explains the current routing decisions to operators. */
   explain(question: RoutingQuestion, now: Milliseconds): RoutingExplanation {
     return explainRouting(question, this.#databases, this.#classes, now)
   }
 
-  #take(message: ProxyMessage, now: Milliseconds): void {
+  #process(message: ProxyMessage, now: Milliseconds): void {
     switch (message.kind) {
       case 'requestArrived':
         this.#requestArrived(message, now)
@@ -156,9 +159,9 @@
     })
   }
 
-  /** The new request takes the place of the one that held the connection until now. */
+  /** The new request replaces the previous one as holder of the transaction's connection. */
   #transactionContinued(message: Message<'transactionContinued'>, now: Milliseconds): void {
-    const { ledger, effects, moment } = this.#context
+    const { requests, effects, moment } = this.#context
     const owner = this.#owners.get(message.connection)
     const connection = owner?.server.pool.get(message.connection)
     const holder = connection?.holder ?? null
@@ -174,8 +177,8 @@
       connection,
       startedAt: now,
     }
-    ledger.finish(holder)
-    ledger.add(request)
+    requests.finish(holder)
+    requests.add(request)
     connection.holder = request
   }
 
@@ -190,7 +193,7 @@
       return
     }
     this.#sequence = snapshot.sequence
-    this.#context.entryHosts.hear(snapshot.entryHostCount, now)
+    this.#context.entryHosts.update(snapshot.entryHostCount, now)
     this.#updateGroups(snapshot, now)
   }
 
@@ -207,7 +210,7 @@
     }
   }
 
-  /** Versions only grow: targets that were in force never come back after newer ones. */
+  /** Ignores any version that is not newer than the current one, so targets never revert. */
   #updateTargets(targets: VersionedTargets | null): void {
     if (targets === null) return
     if (this.#targets !== null && targets.version <= this.#targets.version) return
@@ -222,7 +225,7 @@
   }
 
   #finishStop(): void {
-    if (this.#stopped || this.#context.ledger.size > 0) return
+    if (this.#stopped || this.#context.requests.size > 0) return
     this.#stopped = true
     for (const database of this.#databases.values()) database.closeAll()
     this.#context.effects.push({ kind: 'stopped' })
@@ -238,7 +241,7 @@
   }
 
   #withRequest(id: RequestId, use: (request: ProxyRequest, database: Database) => void): void {
-    const request = this.#context.ledger.get(id)
+    const request = this.#context.requests.get(id)
     if (request !== undefined) use(request, request.database)
   }
 }
--- a/packages/state/src/proxyOptions.ts
+++ b/packages/state/src/proxyOptions.ts
@@ -1,26 +1,26 @@
-/** What a proxy's decision core is told by its settings. All spans are in milliseconds. */
+/** Options of a proxy's decision core. All durations are in milliseconds. */
 import type { AvailabilityZoneId, RegionId } from '@nutmegcourse/shared'
 
 export interface ProxyOptions {
   readonly zone: AvailabilityZoneId
   readonly region: RegionId
-  /** Longest wait of a request for a database that has no usable primary, when its class's latency is shorter. */
+  /** Longest a request waits for a usable primary, if its class's latency is shorter. */
   readonly failoverPatienceMilliseconds: number
-  /** Least time that a write may wait for its confirmation, when its class's latency is shorter. */
+  /** Longest a write waits for its confirmation, if its class's latency is shorter. */
   readonly confirmationFloorMilliseconds: number
-  /** Longest a request may run, when ten times its class's latency is shorter. */
+  /** Longest a request may run, if ten times its class's latency is shorter. */
   readonly runLimitMilliseconds: number
-  /** Requests of one database that may wait for a connection. */
+  /** Most requests of one database that may wait for a bound, a server or a connection. */
   readonly queueLimit: number
-  /** How long a share of connections stays small after the number of entry hosts fell. */
+  /** Delay before a share of connections grows after the number of entry hosts fell. */
   readonly shareGrowthDelayMilliseconds: number
-  /** Least number of entry hosts that connections are divided by. */
+  /** Least number of entry hosts that a connection limit is divided by. */
   readonly minimumEntryHosts: number
-  /** Connections of each backend server kept free for the agents' questions and control statements. */
+  /** Connections of each backend server reserved for agents' questions and control statements. */
   readonly controlConnectionsReserved: number
-  /** Longest a leaving primary goes on taking writes before the move away from it. */
+  /** How long a leaving primary still takes writes while the move to another one is pending. */
   readonly leavingPrimaryGraceMilliseconds: number
-  /** Sessions whose last position is kept, for each database. */
+  /** Most sessions per database whose last position is kept. */
   readonly sessionLimit: number
 }
 
@@ -38,7 +38,7 @@
   sessionLimit: 100_000,
 }
 
-/** Fills in what the settings leave out. */
+/** Completes the given options with defaults. */
 export function proxyOptions(given: ProxyPlace & Partial<ProxyOptions>): ProxyOptions {
   return { ...DEFAULTS, ...given }
 }
--- a/packages/state/src/proxyRequest.ts
+++ b/packages/state/src/proxyRequest.ts
@@ -1,5 +1,5 @@
 /**
- * One request on its way through the core, and the class of work it belongs to.
+ * The state of one request in the core, and of the class of work it belongs to.
  *
  * @internal
  */
@@ -14,7 +14,7 @@
 import { ReplicaWaits } from './replicaWaits.js'
 import { RetryBudget } from './retryBudget.js'
 
-/** A class of work with what the core has learned of it. Lives on through changes of its targets. */
+/** A class of work and its running state, which is kept when its targets change. */
 export class ClassState {
   targets: ClassTargets
   readonly share = new ReplicaShare()
@@ -24,8 +24,8 @@
   readonly replicaTags: Readonly<Record<string, string>>
   readonly primaryTags: Readonly<Record<string, string>>
   readonly refusedUnrunTags: Readonly<Record<string, string>>
-  /** Why the primary served a read, by whose turn it was. */
-  readonly whyTags: Readonly<Record<ShareTurn, Readonly<Record<string, string>>>>
+  /** Tags with the reason why the primary served a read, by the read's turn. */
+  readonly primaryReadTags: Readonly<Record<ShareTurn, Readonly<Record<string, string>>>>
 
   constructor(targets: ClassTargets) {
     this.targets = targets
@@ -34,7 +34,7 @@
     this.primaryTags = { class: targets.name, role: 'primary' }
     this.refusedUnrunTags = { class: targets.name, why: 'refused_unrun' }
     const why = (reason: string) => ({ class: targets.name, why: reason })
-    this.whyTags = {
+    this.primaryReadTags = {
       undecided: why('share'),
       primary: why('share'),
       replica: why('replica_promoted'),
@@ -44,7 +44,7 @@
 }
 
 export type RequestPhase =
-  /** A read that waits for a bound, or for a server that is fresh enough. */
+  /** A read waits for a bound, or for a server that is fresh enough. */
   | 'awaitingServer'
   /** Waits for a connection. */
   | 'queued'
@@ -55,12 +55,12 @@
   | 'inTransaction'
   | 'finished'
 
-/** Whose turn a read is under its class's share; fixed at its first routing. */
+/** The role that a class's replica share assigns to a read; fixed when the read is first routed. */
 export type ShareTurn =
   | 'undecided'
   | 'replica'
   | 'primary'
-  /** A replica's turn that the primary takes, because no replica was fit in time. */
+  /** Assigned to a replica, but served by the primary because no replica qualified in time. */
   | 'replicaUnfit'
 
 export interface ProxyRequest {
@@ -72,21 +72,21 @@
   readonly arrivedAt: Milliseconds
   readonly arrivedMoment: Moment
   phase: RequestPhase
-  /** Answered by then, or refused. */
+  /** When the request is refused unless it has started to run. */
   deadline: Milliseconds
-  /** The deadline was put off because the database had no usable primary. */
+  /** The deadline was extended because the database had no usable primary. */
   extended: boolean
   turn: ShareTurn
   /** The primary could have served it, but it waits for a replica to catch up. */
   isWaitingForReplica: boolean
-  /** What a serving read must hold; null until it is known. */
-  need: LogPosition | null
+  /** The position that a server must have reached to serve this read; null until known. */
+  required: LogPosition | null
   attempts: number
-  /** An attempt may have had an effect: no later refusal may say that nothing ran. */
+  /** An attempt may have had an effect, so no later refusal may state that nothing ran. */
   mayHaveRun: boolean
-  /** It goes on in a transaction that an earlier request opened. */
+  /** Continues a transaction that an earlier request opened. */
   isContinued: boolean
-  /** Where the last attempt failed. */
+  /** The server on which the last attempt failed. */
   avoid: BackendServer | null
   server: BackendServer | null
   connection: PooledConnection | null
@@ -112,7 +112,7 @@
     extended: false,
     turn: 'undecided',
     isWaitingForReplica: false,
-    need: null,
+    required: null,
     attempts: 0,
     mayHaveRun: false,
     isContinued: false,
--- a/packages/state/src/questionPlanner.ts
+++ b/packages/state/src/questionPlanner.ts
@@ -1,53 +1,54 @@
 /**
- * Decides when each backend server of a database is asked for its log position.
+ * Schedules the position questions, which ask a database's backend servers for their log position.
  *
  * @internal
  */
 import { addMilliseconds, milliseconds, type Milliseconds } from '@nutmegcourse/shared'
-import { PAST_THE_LINK, type BackendServer } from './backendServer.js'
+import { OTHER_REGION, type BackendServer } from './backendServer.js'
 import type { CoreContext } from './coreContext.js'
 import type { DatabaseGroup } from './databaseGroup.js'
 import type { Moment } from './positionTracker.js'
 
 /** Longest pause between questions to a server. */
 export const LONGEST_INTERVAL_MILLISECONDS = 1000
-/** Servers past the paid link are asked only when the near ones have not settled it by then. */
-const HEDGE_MILLISECONDS = 15
-/** Pause after a failed question that something waits for. */
-const RETRY_MILLISECONDS = 20
-/** An open question without any word for so long is given up; the shell's own timeout is shorter. */
-const QUESTION_LOST_MILLISECONDS = 5000
+/** Delay before servers of another region are asked, in case the near ones' answers suffice. */
+const HEDGE_DELAY_MILLISECONDS = 15
+/** Pause after a failed question whose answer is still needed. */
+const RETRY_INTERVAL_MILLISECONDS = 20
+/** Timeout of an open question, in case the shell never reports; the shell's timeout is shorter. */
+const QUESTION_TIMEOUT_MILLISECONDS = 5000
 /** Pause between questions to each server while writes wait for one that leads. */
-const LEADER_PACE_MILLISECONDS = 15
+const LEADER_SEARCH_INTERVAL_MILLISECONDS = 15
 /** Pause between questions to a server that is being promoted. */
-const PROMOTION_PACE_MILLISECONDS = 5
-const FOREVER = milliseconds(Number.POSITIVE_INFINITY)
+const PROMOTION_INTERVAL_MILLISECONDS = 5
+const NEVER = milliseconds(Number.POSITIVE_INFINITY)
 
-/** What waits for positions; filled in by the read and write paths. */
-export interface QuestionWants {
+/** What waiting requests need from position questions; provided by the read and write paths. */
+export interface PositionDemand {
   /** Reads need answers to questions sent at or after this moment; -1 for none. */
   readonly boundMoment: Moment
   readonly boundSince: Milliseconds
   /** Writes need replicas' answers to questions sent at or after this moment; -1 for none. */
   readonly confirmMoment: Moment
   readonly confirmSince: Milliseconds
-  /** Some of these writes ran in an earlier term, so that the new leader's word counts too. */
+  /** Some of these writes ran in an earlier term, so the new leader's answer counts too. */
   readonly confirmAsksLeader: boolean
-  /** Reads with a known need wait for some server to reach it, since then. */
+  /** Since when reads have been waiting for a server to reach their required position. */
   readonly catchUpSince: Milliseconds | null
   /** Writes wait for a server that leads. */
   readonly seeksLeader: boolean
 }
 
 /**
- * One question at a time is open to a server and its answer serves everything that waited when it
- * was sent, so questions cost round trips, not requests. Without any request each server is still
- * asked at the background interval: ages must stay known when traffic is nearly nil.
+ * At most one question per server is open, and its answer serves every request that was waiting
+ * when it was sent, so the number of questions grows with round trips and not with requests.
+ * Without any request each server is still asked at the background interval, so that the age of its
+ * data stays known when there is almost no traffic.
  */
 export class QuestionPlanner {
   readonly #group: DatabaseGroup
   readonly #context: CoreContext
-  #dueAt: Milliseconds = FOREVER
+  #dueAt: Milliseconds = NEVER
   intervalMilliseconds = LONGEST_INTERVAL_MILLISECONDS
 
   constructor(group: DatabaseGroup, context: CoreContext) {
@@ -55,16 +56,16 @@
     this.#context = context
   }
 
-  /** When `ask` has something to do again. */
+  /** When `ask` must be called again. */
   get nextDueAt(): Milliseconds {
     return this.#dueAt
   }
 
-  /** Whether every near replica has a question open, so that one more waiting write asks nothing. */
+  /** Whether every near replica has an open question, so another waiting write needs no new one. */
   get isAskingNearby(): boolean {
     let isAsking = false
     for (const server of this.#group.servers) {
-      if (server.distance === PAST_THE_LINK || server === this.#group.leader) continue
+      if (server.distance === OTHER_REGION || server === this.#group.leader) continue
       if (!server.breaker.isClosed || !this.#group.tracker.knows(server.id)) continue
       if (server.question === null) return false
       isAsking = true
@@ -73,16 +74,16 @@
   }
 
   /** Sends the questions that are due. */
-  ask(wants: QuestionWants, now: Milliseconds): void {
+  ask(demand: PositionDemand, now: Milliseconds): void {
     const { tracker, leader } = this.#group
-    const nearBound = this.#group.nearbySuffice(tracker.majority, null)
-    const nearConfirm = this.#group.nearbySuffice(tracker.majority - 1, leader)
-    let next = FOREVER
+    const hasNearbyMajority = this.#group.hasEnoughNearby(tracker.majority, null)
+    const hasNearbyConfirmers = this.#group.hasEnoughNearby(tracker.majority - 1, leader)
+    let next = NEVER
     for (const server of this.#group.servers) {
-      let due = this.#dueTime(server, wants, nearBound, nearConfirm, now)
+      let due = this.#dueTime(server, demand, hasNearbyMajority, hasNearbyConfirmers, now)
       if (due <= now) {
         this.#send(server, now)
-        due = addMilliseconds(now, QUESTION_LOST_MILLISECONDS)
+        due = addMilliseconds(now, QUESTION_TIMEOUT_MILLISECONDS)
       }
       if (due < next) next = due
     }
@@ -90,7 +91,7 @@
   }
 
   #send(server: BackendServer, now: Milliseconds): void {
-    if (server.question !== null) server.forgetQuestion()
+    if (server.question !== null) server.abandonQuestion()
     server.breaker.startProbe()
     server.questionAsked(now, this.#context.moment)
     this.#context.effects.push({ kind: 'askPosition', server: server.id })
@@ -98,54 +99,58 @@
 
   #dueTime(
     server: BackendServer,
-    wants: QuestionWants,
-    nearBound: boolean,
-    nearConfirm: boolean,
+    demand: PositionDemand,
+    hasNearbyMajority: boolean,
+    hasNearbyConfirmers: boolean,
     now: Milliseconds,
   ): Milliseconds {
-    if (!this.#group.tracker.knows(server.id)) return FOREVER
+    if (!this.#group.tracker.knows(server.id)) return NEVER
     if (server.question !== null) {
-      return addMilliseconds(server.question.askedAt, QUESTION_LOST_MILLISECONDS)
+      return addMilliseconds(server.question.askedAt, QUESTION_TIMEOUT_MILLISECONDS)
     }
-    if (!server.breaker.isClosed) return server.breaker.probeAt ?? FOREVER
+    if (!server.breaker.isClosed) return server.breaker.probeAt ?? NEVER
     if (server.isQuestionUrgent) return now
     const last = server.lastAskedAt
-    const isFar = server.distance === PAST_THE_LINK
-    let due = addMilliseconds(last, this.#interval(server, isFar && nearBound))
-    const paced = addMilliseconds(
+    const isFar = server.distance === OTHER_REGION
+    let due = addMilliseconds(last, this.#interval(server, isFar && hasNearbyMajority))
+    const dueByInterval = addMilliseconds(
       last,
-      server.lastQuestionFailed ? RETRY_MILLISECONDS : server.pace,
+      server.lastQuestionFailed ? RETRY_INTERVAL_MILLISECONDS : server.questionInterval,
     )
-    if (wants.boundMoment >= 0 && this.#owes(server, wants.boundMoment)) {
-      const at = server.lastQuestionFailed ? paced : now
-      due = earlier(due, isFar && nearBound ? hedged(wants.boundSince, at) : at)
+    if (demand.boundMoment >= 0 && this.#lacksAnswerSince(server, demand.boundMoment)) {
+      const at = server.lastQuestionFailed ? dueByInterval : now
+      due = earlier(due, isFar && hasNearbyMajority ? hedged(demand.boundSince, at) : at)
     }
-    const confirms = wants.confirmAsksLeader || server !== this.#group.leader
-    if (wants.confirmMoment >= 0 && confirms) {
-      const at = server.lastAskedMoment < wants.confirmMoment ? now : paced
-      due = earlier(due, isFar && nearConfirm ? hedged(wants.confirmSince, at) : at)
+    const countsForConfirmation = demand.confirmAsksLeader || server !== this.#group.leader
+    if (demand.confirmMoment >= 0 && countsForConfirmation) {
+      const at = server.lastAskedMoment < demand.confirmMoment ? now : dueByInterval
+      due = earlier(due, isFar && hasNearbyConfirmers ? hedged(demand.confirmSince, at) : at)
     }
-    if (wants.seeksLeader) due = earlier(due, addMilliseconds(last, LEADER_PACE_MILLISECONDS))
-    if (wants.catchUpSince !== null) {
-      due = earlier(due, isFar && nearBound ? hedged(wants.catchUpSince, paced) : paced)
+    if (demand.seeksLeader)
+      due = earlier(due, addMilliseconds(last, LEADER_SEARCH_INTERVAL_MILLISECONDS))
+    if (demand.catchUpSince !== null) {
+      due = earlier(
+        due,
+        isFar && hasNearbyMajority ? hedged(demand.catchUpSince, dueByInterval) : dueByInterval,
+      )
     }
     return due
   }
 
-  /** Whether the server's newest answer is older than the reads need. */
-  #owes(server: BackendServer, moment: Moment): boolean {
+  /** Whether the server has answered no question sent at or after `moment`. */
+  #lacksAnswerSince(server: BackendServer, moment: Moment): boolean {
     return this.#group.tracker.askedMomentOf(server.id) < moment
   }
 
   /**
-   * Servers past the link are asked less often while the near ones make a majority: they serve only
-   * when no near one is fit, and are asked then.
+   * Servers of another region are asked less often while the near ones make a majority: they serve
+   * reads only when no near one qualifies, and are asked then.
    */
-  #interval(server: BackendServer, isSpare: boolean): number {
+  #interval(server: BackendServer, isOptional: boolean): number {
     const { phase } = this.#group.record
     const isPromoted = phase.kind === 'promoting' && phase.chosen === server.id
-    if (isPromoted && this.#group.leader !== server) return PROMOTION_PACE_MILLISECONDS
-    return isSpare ? LONGEST_INTERVAL_MILLISECONDS : this.intervalMilliseconds
+    if (isPromoted && this.#group.leader !== server) return PROMOTION_INTERVAL_MILLISECONDS
+    return isOptional ? LONGEST_INTERVAL_MILLISECONDS : this.intervalMilliseconds
   }
 }
 
@@ -153,6 +158,6 @@
   left < right ? left : right
 
 function hedged(since: Milliseconds, at: Milliseconds): Milliseconds {
-  const earliest = addMilliseconds(since, HEDGE_MILLISECONDS)
+  const earliest = addMilliseconds(since, HEDGE_DELAY_MILLISECONDS)
   return at < earliest ? earliest : at
 }
--- a/packages/state/src/readPath.ts
+++ b/packages/state/src/readPath.ts
@@ -1,5 +1,5 @@
 /**
- * Reads of one database, from their arrival until a backend server is chosen.
+ * Handles the reads of one database from their arrival until a backend server is chosen.
  *
  * @internal
  */
@@ -17,17 +17,17 @@
 import { ReadRouter } from './readRouter.js'
 import type { SessionPositions } from './sessionPositions.js'
 
-export interface AwaitingReads {
+export interface ReadPositionDemand {
   /** The newest arrival that needs a bound; -1 for none. */
   readonly boundMoment: Moment
   readonly boundSince: Milliseconds
   readonly catchUpSince: Milliseconds | null
 }
 
-/** Runs a read on the server that was chosen for it, or queues it there. */
+/** Runs a read on its chosen server, or queues it there. */
 export type SubmitRead = (server: BackendServer, request: ProxyRequest, now: Milliseconds) => void
 
-const NOTHING: AwaitingReads = {
+const NO_DEMAND: ReadPositionDemand = {
   boundMoment: -1,
   boundSince: 0 as Milliseconds,
   catchUpSince: null,
@@ -59,10 +59,10 @@
     return this.#awaiting.size
   }
 
-  /** Sends the read to a server's queue, or keeps it until positions allow that. */
+  /** Submits the read to a server, or keeps it until positions allow that. */
   place(request: ProxyRequest, now: Milliseconds): void {
-    request.need = this.#findNeed(request)
-    if (request.need === null) {
+    request.required = this.#findRequiredPosition(request)
+    if (request.required === null) {
       this.#keep(request)
       return
     }
@@ -83,19 +83,19 @@
         return
       case 'allLate':
         this.#awaiting.delete(request)
-        this.#context.ledger.refuse(request, 'admission_predicted_late', {
+        this.#context.requests.refuse(request, 'admission_predicted_late', {
           retryAfterMilliseconds: Math.ceil(failure.lateBy),
         })
         return
     }
   }
 
-  /** Whether a queued read may still run on the server: while it waited, the data grew older. */
-  mayRun(request: ProxyRequest, server: BackendServer, now: Milliseconds): boolean {
-    return request.need !== null && this.#router.qualifies(server, request, request.need, now)
+  /** Whether a queued read may still run on the server, whose data aged while the read waited. */
+  mayRun(read: ProxyRequest, server: BackendServer, now: Milliseconds): boolean {
+    return read.required !== null && this.#router.qualifies(server, read, read.required, now)
   }
 
-  /** Places again whatever waited for positions; called when they changed. */
+  /** Places all waiting reads again; called when positions have changed. */
   reevaluate(now: Milliseconds): void {
     this.#wakeAt = null
     for (const request of [...this.#awaiting]) this.place(request, now)
@@ -105,7 +105,7 @@
     this.#awaiting.delete(request)
   }
 
-  /** Reads whose deadline has passed without a server; they are no longer kept. */
+  /** Removes and returns the waiting reads whose deadline has passed. */
   takeExpired(now: Milliseconds): ProxyRequest[] {
     const expired: ProxyRequest[] = []
     for (const request of this.#awaiting) if (request.deadline <= now) expired.push(request)
@@ -117,7 +117,7 @@
     this.#keep(request)
   }
 
-  /** When a kept read must be looked at without any news. */
+  /** When a waiting read must be placed again or refused even if no position changes. */
   nextWake(): Milliseconds | null {
     let earliest = this.#wakeAt
     for (const { deadline } of this.#awaiting) {
@@ -126,14 +126,14 @@
     return earliest
   }
 
-  /** What the kept reads wait for. */
-  wants(): AwaitingReads {
-    if (this.#awaiting.size === 0) return NOTHING
+  /** What the waiting reads need from position questions. */
+  positionDemand(): ReadPositionDemand {
+    if (this.#awaiting.size === 0) return NO_DEMAND
     let boundMoment = -1
     let boundSince = Number.POSITIVE_INFINITY
     let catchUpSince = Number.POSITIVE_INFINITY
-    for (const { need, arrivedMoment, arrivedAt } of this.#awaiting) {
-      if (need === null) {
+    for (const { required, arrivedMoment, arrivedAt } of this.#awaiting) {
+      if (required === null) {
         boundMoment = Math.max(boundMoment, arrivedMoment)
         boundSince = Math.min(boundSince, arrivedAt)
       } else {
@@ -148,19 +148,20 @@
   }
 
   /**
-   * What a serving server must hold. A session that other proxies may have, or a class that wants
-   * everything acknowledged so far, needs a bound asked after the arrival: a remembered position
-   * says nothing of what the session wrote elsewhere. A session of one connection wrote only here.
-   * A bound may fall as further servers answer, and then more servers reach it.
+   * The position that a server must have reached to serve the read. A session that other proxies
+   * may share, or a class that requires everything acknowledged so far, needs a bound asked after
+   * the arrival: a stored position does not cover what the session wrote through other proxies. A
+   * session of one connection wrote only through this one. The bound may decrease as further
+   * servers answer, so that more servers qualify.
    */
-  #findNeed(request: ProxyRequest): LogPosition | null {
-    const own = this.#sessions.needOf(request.session)
+  #findRequiredPosition(request: ProxyRequest): LogPosition | null {
+    const own = this.#sessions.requiredPosition(request.session)
     const isBoundToConnection = !request.roams
     if (isBoundToConnection && request.classState.targets.freshnessMilliseconds > 0) return own
     const bound = this.#group.tracker.boundAskedSince(request.arrivedMoment)
-    if (bound === null) return request.need
-    const need = laterPosition(bound, own)
-    return request.need === null ? need : earlierPosition(request.need, need)
+    if (bound === null) return request.required
+    const required = laterPosition(bound, own)
+    return request.required === null ? required : earlierPosition(request.required, required)
   }
 
   #keep(request: ProxyRequest): void {
--- a/packages/state/src/readRouter.ts
+++ b/packages/state/src/readRouter.ts
@@ -6,21 +6,21 @@
 import { addMilliseconds, type Milliseconds } from '@nutmegcourse/shared'
 import type { LogPosition } from '@nutmegcourse/shared'
 import type { BackendServer } from './backendServer.js'
-import { SILENCE_LIMIT_MILLISECONDS, type DatabaseGroup } from './databaseGroup.js'
+import { UNRESPONSIVE_AFTER_MILLISECONDS, type DatabaseGroup } from './databaseGroup.js'
 import type { ProxyRequest } from './proxyRequest.js'
 import { err, ok, type Result } from './results.js'
 
-/** Longest a read waits for a replica to catch up before the primary serves it instead. */
-const REPLICA_PATIENCE_MILLISECONDS = 100
-/** The part of a class's latency that such a wait may use up. */
-const REPLICA_PATIENCE_SHARE = 0.4
+/** Longest a read waits for a replica to catch up before the primary serves it. */
+const LONGEST_CATCH_UP_WAIT_MILLISECONDS = 100
+/** Fraction of a class's latency that such a wait may take. */
+const CATCH_UP_WAIT_SHARE = 0.4
 
 export type RoutingFailure =
-  /** No server is known to hold what the read needs at the age it accepts. */
+  /** No server is known to hold the required position at an age that the class accepts. */
   | { readonly kind: 'noneFresh' }
-  /** The primary serves it unless a replica catches up until then. */
+  /** The primary will serve the read unless a replica catches up before `until`. */
   | { readonly kind: 'replicaBehind'; readonly until: Milliseconds }
-  /** Some server would do, but none in time. */
+  /** Some server qualifies, but none is predicted to serve the read before its deadline. */
   | { readonly kind: 'allLate'; readonly lateBy: number }
 
 export class ReadRouter {
@@ -30,36 +30,41 @@
     this.#group = group
   }
 
-  /** The read's `need` must be known. Fixes its turn under the class's share. */
+  /** The read must have a `required` position. Fixes the read's turn under the class's share. */
   choose(request: ProxyRequest, now: Milliseconds): Result<BackendServer, RoutingFailure> {
-    const { classState, need } = request
-    if (need === null) return err({ kind: 'noneFresh' })
+    const { classState, required } = request
+    if (required === null) return err({ kind: 'noneFresh' })
     const primary = this.#group.primary
     const permitted = classState.targets.replicaReadShare
-    const survey = this.#survey(request, need, primary, now)
+    const candidates = this.#findCandidates(request, required, primary, now)
     const primaryUp =
-      primary !== null && primary.isUsable && !primary.isSilent(now, SILENCE_LIMIT_MILLISECONDS)
-    if (request.turn === 'undecided' && (survey.replica ?? survey.primary ?? null) !== null) {
+      primary !== null &&
+      primary.isUsable &&
+      !primary.isUnresponsive(now, UNRESPONSIVE_AFTER_MILLISECONDS)
+    if (
+      request.turn === 'undecided' &&
+      (candidates.replica ?? candidates.primary ?? null) !== null
+    ) {
       request.turn = classState.share.takeTurn(permitted)
     }
     if (request.turn === 'primary' && primaryUp) {
-      if (survey.primary !== null) return ok(survey.primary)
-      return err(survey.failure())
+      if (candidates.primary !== null) return ok(candidates.primary)
+      return err(candidates.failure())
     }
-    if (survey.replica !== null) {
+    if (candidates.replica !== null) {
       const mayUse = request.turn === 'replica' || permitted > 0
       if (request.turn === 'primary' && mayUse) classState.share.overdraw()
       if (mayUse) {
         if (request.isWaitingForReplica) classState.replicaWaits.recordSuccess()
-        return ok(survey.replica)
+        return ok(candidates.replica)
       }
     }
-    if (survey.primary === null) return err(survey.failure())
-    if (request.turn !== 'replica') return ok(survey.primary)
-    return this.#waitForReplica(request, survey.primary, survey.replicaBehind, now)
+    if (candidates.primary === null) return err(candidates.failure())
+    if (request.turn !== 'replica') return ok(candidates.primary)
+    return this.#waitForReplica(request, candidates.primary, candidates.replicaBehind, now)
   }
 
-  /** The primary could serve the read now, but its class's share asks for a replica. */
+  /** For a read that the primary could serve now but its class's share assigns to a replica. */
   #waitForReplica(
     request: ProxyRequest,
     primary: BackendServer,
@@ -67,7 +72,7 @@
     now: Milliseconds,
   ): Result<BackendServer, RoutingFailure> {
     const { share, replicaWaits } = request.classState
-    const until = addMilliseconds(request.arrivedAt, replicaPatience(request))
+    const until = addMilliseconds(request.arrivedAt, longestCatchUpWait(request))
     const mayWait = mayCatchUp && now < until
     if (mayWait && (request.isWaitingForReplica || replicaWaits.mayStart(now))) {
       request.isWaitingForReplica = true
@@ -79,49 +84,49 @@
     return ok(primary)
   }
 
-  /** Whether the server holds `need` at an age that the class accepts. Leads or not is no matter. */
+  /** Whether the server, leading or not, holds `required` at an age that the class accepts. */
   qualifies(
     server: BackendServer,
     request: ProxyRequest,
-    need: LogPosition,
+    required: LogPosition,
     now: Milliseconds,
   ): boolean {
     const { tracker } = this.#group
-    if (!server.isUsable || !tracker.isAtOrPast(server.id, need)) return false
+    if (!server.isUsable || !tracker.isAtOrPast(server.id, required)) return false
     const freshness = request.classState.targets.freshnessMilliseconds
-    // A class with freshness 0 has a bound asked after its arrival in `need` instead of an age.
+    // With freshness 0, `required` covers a bound asked after the arrival instead of an age.
     return freshness === 0 || tracker.freshAsOf(server.id) >= now - freshness
   }
 
-  #survey(
+  #findCandidates(
     request: ProxyRequest,
-    need: LogPosition,
+    required: LogPosition,
     primary: BackendServer | null,
     now: Milliseconds,
-  ): Survey {
-    const survey = new Survey()
+  ): ServerCandidates {
+    const candidates = new ServerCandidates()
     const remaining = request.deadline - now
     for (const server of this.#group.servers) {
-      if (!this.qualifies(server, request, need, now)) {
-        if (server !== primary && server.isUsable) survey.replicaBehind = true
+      if (!this.qualifies(server, request, required, now)) {
+        if (server !== primary && server.isUsable) candidates.replicaBehind = true
         continue
       }
       const wait = server.predictedWait(server.reads.size, now)
-      if (wait > remaining) survey.noteLate(wait - remaining)
-      else if (server === primary) survey.primary = server
-      else if (isBetter(server, survey.replica, request)) survey.replica = server
+      if (wait > remaining) candidates.recordLate(wait - remaining)
+      else if (server === primary) candidates.primary = server
+      else if (isBetter(server, candidates.replica, request)) candidates.replica = server
     }
-    return survey
+    return candidates
   }
 }
 
-class Survey {
+class ServerCandidates {
   primary: BackendServer | null = null
   replica: BackendServer | null = null
   replicaBehind = false
   #leastLateBy: number | null = null
 
-  noteLate(lateBy: number): void {
+  recordLate(lateBy: number): void {
     this.#leastLateBy = Math.min(this.#leastLateBy ?? lateBy, lateBy)
   }
 
@@ -131,12 +136,12 @@
   }
 }
 
-function replicaPatience(request: ProxyRequest): number {
+function longestCatchUpWait(request: ProxyRequest): number {
   const { latencyMilliseconds } = request.classState.targets
-  return Math.min(latencyMilliseconds * REPLICA_PATIENCE_SHARE, REPLICA_PATIENCE_MILLISECONDS)
+  return Math.min(latencyMilliseconds * CATCH_UP_WAIT_SHARE, LONGEST_CATCH_UP_WAIT_MILLISECONDS)
 }
 
-/** Nearer first, then the one with fewer requests per slot; not where the last attempt failed. */
+/** Prefers the nearer server, then the lower load; avoids the server of the failed attempt. */
 function isBetter(
   server: BackendServer,
   than: BackendServer | null,
--- a/packages/state/src/requestLedger.ts
+++ b/packages/state/src/requestLedger.ts
@@ -1,5 +1,5 @@
 /**
- * All requests that have no final answer yet; the one place where a final answer is given.
+ * Registry of all requests without a final answer; requests are finished only here.
  *
  * @internal
  */
@@ -32,15 +32,16 @@
     return this.#requests.get(id)
   }
 
-  /** Forgets a request that needs no more answers. */
+  /** Removes a request that needs no further answer. */
   finish(request: ProxyRequest): void {
     request.phase = 'finished'
     this.#requests.delete(request.id)
   }
 
   /**
-   * Gives the final answer. After a broken attempt of an idempotent write that was sent again, "not
-   * run" would be untrue whatever stopped the second attempt, so the answer says unknown instead.
+   * Refuses the request as its final answer. After a broken attempt of a write that was then sent
+   * again, a reason that means "not run" would be untrue whatever stopped the second attempt, so
+   * the refusal states that the outcome is unknown.
    */
   refuse(request: ProxyRequest, wanted: Reason, details: RefusalDetails = {}): void {
     const untrue = request.mayHaveRun && REASONS[wanted].kind === 'notRun'
--- a/packages/state/src/requestOutcomes.ts
+++ b/packages/state/src/requestOutcomes.ts
@@ -1,5 +1,6 @@
 /**
- * What follows when a request ran, was refused, broke or lost its caller.
+ * Handles the end of an attempt: the request ran or was refused, its connection broke, or its
+ * caller disconnected.
  *
  * @internal
  */
@@ -13,7 +14,7 @@
 import type { ReadPath } from './readPath.js'
 import type { WritePath } from './writePath.js'
 
-/** Attempts after the first that a request may get. */
+/** Most attempts of a request after the first. */
 const MOST_RETRIES = 2
 
 export interface RunOutcome {
@@ -43,7 +44,7 @@
     this.#dispatcher = dispatcher
   }
 
-  /** The backend server's whole answer is in. */
+  /** Handles the complete answer of the backend server. */
   ran(request: ProxyRequest, outcome: RunOutcome, now: Milliseconds): void {
     if (outcome.transactionOpen) {
       this.#keepTransaction(request)
@@ -53,17 +54,17 @@
     if (!isWrite(request)) this.#readServed(request, server)
     else if (outcome.failed) this.#answerFailedWrite(request)
     else if (outcome.position === null || server === null) {
-      // Without a position the write can not be confirmed, though it may well last.
-      this.#context.ledger.refuse(request, 'connection_lost')
+      // Without a position the write can not be confirmed, though it may have been committed.
+      this.#context.requests.refuse(request, 'connection_lost')
     } else this.#writes.ran(request, outcome.position, server, now)
     if (server !== null) this.#dispatcher.dispatch(server, now)
   }
 
-  /** The server refused the request whole, because it may not write now: nothing of it ran. */
+  /** The server refused the whole request, since it may not write or is stopping: nothing ran. */
   refusedUnrun(request: ProxyRequest, now: Milliseconds): void {
     const server = this.#dispatcher.release(request, now)
     if (server !== null) {
-      if (isWrite(request)) server.writeRefused(this.#context.moment)
+      if (isWrite(request)) server.recordWriteRefusal(this.#context.moment)
       else server.isQuestionUrgent = true
       this.#group.findLeader(now)
     }
@@ -72,34 +73,34 @@
   }
 
   /**
-   * The connection broke under the request. Only work that may be repeated is sent again, and only
-   * while the caller has none of its answer; of anything else the outcome is unknown.
+   * The connection broke while the request ran. Only an idempotent request is retried, and only
+   * while the caller has received none of its answer; otherwise the outcome is unknown.
    */
   broken(request: ProxyRequest, partlyAnswered: boolean, now: Milliseconds): void {
     this.#dispatcher.drop(request)
-    // A read leaves nothing behind, so after it any later reason is still true.
+    // A read has no effect, so any reason for a later refusal remains true.
     if (isWrite(request)) request.mayHaveRun = true
     const { idempotent } = request.classState.targets
     if (!idempotent || partlyAnswered || request.isContinued) {
-      this.#context.ledger.refuse(request, 'connection_lost')
+      this.#context.requests.refuse(request, 'connection_lost')
       return
     }
     this.#retry(request, 'retry.broken', 'connection_lost', now)
   }
 
-  /** The caller left. */
+  /** The caller disconnected. */
   abandon(request: ProxyRequest, now: Milliseconds): void {
     const { server, phase } = request
     this.#reads.remove(request)
     this.#writes.remove(request)
     for (const each of this.#group.servers) each.reads.remove(request)
-    this.#context.ledger.finish(request)
+    this.#context.requests.finish(request)
     if (phase !== 'running' && phase !== 'inTransaction') return
     this.#dispatcher.drop(request)
     if (server !== null) this.#dispatcher.dispatch(server, now)
   }
 
-  /** Queues a request that has not run yet, or may run again. */
+  /** Routes a request that has not run yet or is being retried. */
   place(request: ProxyRequest, now: Milliseconds): void {
     if (!isWrite(request)) this.#reads.place(request, now)
     else if (this.#writes.admit(request, now)) this.#dispatcher.submitWrite(request, now)
@@ -121,11 +122,11 @@
   ): void {
     const { budget, targets, tags, refusedUnrunTags } = request.classState
     if (request.isContinued || request.attempts >= MOST_RETRIES) {
-      this.#context.ledger.refuse(request, whenSpent)
+      this.#context.requests.refuse(request, whenSpent)
       return
     }
     if (!budget.take(now)) {
-      this.#context.ledger.refuse(request, 'retry_budget_spent', {
+      this.#context.requests.refuse(request, 'retry_budget_spent', {
         retryAfterMilliseconds: targets.latencyMilliseconds,
       })
       return
@@ -138,32 +139,32 @@
     this.place(request, now)
   }
 
-  /** A server that went silent may have used up the time; the caller still wants its answer. */
+  /** Extends the deadline for a retry, since an unresponsive server may have used up the time. */
   #renewDeadline(request: ProxyRequest, now: Milliseconds): void {
     const { latencyMilliseconds } = request.classState.targets
-    const patience = this.#context.options.failoverPatienceMilliseconds
-    const last = request.arrivedAt + Math.max(latencyMilliseconds, patience)
+    const limit = this.#context.options.failoverPatienceMilliseconds
+    const last = request.arrivedAt + Math.max(latencyMilliseconds, limit)
     const renewed = Math.min(now + latencyMilliseconds, last)
     if (renewed > request.deadline) request.deadline = milliseconds(renewed)
   }
 
   #readServed(request: ProxyRequest, server: BackendServer | null): void {
-    const { effects, ledger } = this.#context
+    const { effects, requests } = this.#context
     const { classState } = request
     if (server === this.#group.primary) {
       effects.count('request.served', classState.primaryTags)
-      effects.count('read.primary', classState.whyTags[request.turn])
+      effects.count('read.primary', classState.primaryReadTags[request.turn])
     } else {
       effects.count('request.served', classState.replicaTags)
       effects.count('read.replica', classState.tags)
     }
     classState.budget.recordSuccess()
-    ledger.finish(request)
+    requests.finish(request)
   }
 
-  /** The error goes to the caller at once: nothing of the write lasts, so nothing is to confirm. */
+  /** Releases the error at once: the write had no lasting effect that would need confirmation. */
   #answerFailedWrite(request: ProxyRequest): void {
     this.#context.effects.push({ kind: 'acknowledge', request: request.id })
-    this.#context.ledger.finish(request)
+    this.#context.requests.finish(request)
   }
 }
--- a/packages/state/src/requestQueue.ts
+++ b/packages/state/src/requestQueue.ts
@@ -1,5 +1,5 @@
 /**
- * Requests that wait for a connection, earliest deadline first.
+ * Priority queue of requests that wait for a connection, earliest deadline first.
  *
  * @internal
  */
@@ -10,7 +10,7 @@
 interface QueuedRequest {
   readonly request: ProxyRequest
   readonly deadline: Milliseconds
-  /** Keeps arrivals of equal deadlines in order. */
+  /** Keeps requests with equal deadlines in order of insertion. */
   readonly order: number
 }
 
@@ -46,7 +46,7 @@
     return request
   }
 
-  /** The entry itself leaves the heap when it comes up. */
+  /** Removes lazily: the entry stays in the heap until it reaches the top. */
   remove(request: ProxyRequest): void {
     this.#members.delete(request)
     if (this.#members.size === 0) this.#entries = new TinyQueue<QueuedRequest>([], byDeadline)
--- a/packages/state/src/retryBudget.ts
+++ b/packages/state/src/retryBudget.ts
@@ -1,18 +1,18 @@
 /**
- * Bounds how much a class's retries add to the load of a database that is failing.
+ * Limits the load that a class's retries add to a failing database.
  *
  * @internal
  */
 import type { Milliseconds } from '@nutmegcourse/shared'
 
-/** Tokens are counted in tenths, so that their sums stay whole. */
+/** Tokens are counted in tenths, so that the refill per success is a whole number. */
 const TENTHS_PER_RETRY = 10
 const MOST_TENTHS = 100
 const TENTHS_PER_SUCCESS = 1
-/** Without this a class with little traffic could never retry. */
+/** Without a refill over time, a class with little traffic could never retry. */
 const TENTHS_PER_SECOND = 5
 
-/** A token bucket fed by successes, and by a trickle of time so that it works at nil load. */
+/** A token bucket refilled by successes, and slowly over time so that it works without traffic. */
 export class RetryBudget {
   #tenths = MOST_TENTHS
   #filledAt: Milliseconds | null = null
@@ -21,7 +21,7 @@
     this.#tenths = Math.min(this.#tenths + TENTHS_PER_SUCCESS, MOST_TENTHS)
   }
 
-  /** Takes one retry; false when none is left. */
+  /** Takes the tokens for one retry; false if there are not enough. */
   take(now: Milliseconds): boolean {
     const elapsed = this.#filledAt === null ? 0 : now - this.#filledAt
     this.#filledAt = now
--- a/packages/state/src/serviceEstimate.ts
+++ b/packages/state/src/serviceEstimate.ts
@@ -1,17 +1,17 @@
 /**
- * How long one request keeps a connection of a backend server busy.
+ * Estimates how long one request keeps a connection of a backend server busy.
  *
  * @internal
  */
 import type { Milliseconds } from '@nutmegcourse/shared'
 
 const WEIGHT_OF_NEWEST = 0.2
-/** An estimate that nothing renews loses half its weight in this time. */
+/** Without new samples the estimate halves in each such period. */
 const HALF_LIFE_MILLISECONDS = 5000
 
 /**
- * A moving average that fades while nothing is measured: a slow spell that ended with the traffic
- * must not go on refusing the few requests that come after it.
+ * An exponential moving average that decays without new samples: a slow period that ended together
+ * with the traffic must not cause the few requests after it to be refused.
  */
 export class ServiceEstimate {
   #average: number | null = null
@@ -23,7 +23,7 @@
     this.#measuredAt = now
   }
 
-  /** Milliseconds a request holds a connection; 0 while nothing is known. */
+  /** Estimated milliseconds that a request holds a connection; 0 without any sample. */
   at(now: Milliseconds): number {
     if (this.#average === null || this.#measuredAt === null) return 0
     const idle = now - this.#measuredAt
--- a/packages/state/src/sessionPositions.ts
+++ b/packages/state/src/sessionPositions.ts
@@ -1,5 +1,5 @@
 /**
- * The last position of each session that is bound to one connection, for one database.
+ * Stores the last write position of each session of one database, for reading its own writes.
  *
  * @internal
  */
@@ -12,8 +12,9 @@
 } from '@nutmegcourse/shared'
 
 /**
- * Forgets the longest unused sessions past a limit. A forgotten session must still read its own
- * writes, so its position raises a floor that every unlisted session is held to.
+ * Beyond a limit, evicts the session that has not advanced for the longest time. An evicted session
+ * must still read its own writes, so its position raises a floor that applies to every session
+ * without an entry.
  */
 export class SessionPositions {
   readonly #positions = new Map<SessionId, LogPosition>()
@@ -24,15 +25,15 @@
     this.#limit = limit
   }
 
-  needOf(session: SessionId): LogPosition {
+  requiredPosition(session: SessionId): LogPosition {
     return this.#positions.get(session) ?? this.#floor
   }
 
-  /** Records that the session's writes reach up to `position`, also when their outcome is unknown. */
+  /** Records that the session wrote up to `position`, even if the outcome is unknown. */
   advance(session: SessionId, position: LogPosition): void {
     const known = this.#positions.get(session)
     if (known !== undefined && isAtOrPast(known, position)) return
-    // Deleting first moves the session to the end of the map's order.
+    // Deleting first moves the session to the end of the map's iteration order.
     this.#positions.delete(session)
     this.#positions.set(session, laterPosition(position, this.#floor))
     if (this.#positions.size > this.#limit) this.#forgetOldest()
--- a/packages/state/src/termHistory.ts
+++ b/packages/state/src/termHistory.ts
@@ -1,5 +1,5 @@
 /**
- * Which writes of earlier terms a later term's log holds.
+ * Determines which writes of earlier terms the log of a later term contains.
  *
  * @internal
  */
@@ -9,11 +9,12 @@
 export type Containment = 'held' | 'discarded' | 'unknown'
 
 /**
- * Whether the log of `term` holds `write`, by the recorded starts of terms.
+ * Whether the log of `term` contains `write`, according to the recorded starts of terms.
  *
- * A term's log is its chosen server's log up to `startsAfter`, then records of the term. So a write
- * of an earlier term is in it just when that prefix holds it: at once when the prefix ends in the
- * write's own term, otherwise by the same question about the term in which the prefix ends.
+ * The log of a term is its chosen server's log up to `startsAfter`, followed by records of the
+ * term. A write of an earlier term is therefore in it exactly if that prefix contains it. If the
+ * prefix ends in the write's own term, the offsets decide; otherwise the same rule applies to the
+ * term in which the prefix ends.
  */
 export function containsWrite(
   termStarts: readonly TermStart[],
--- a/packages/state/src/writePath.ts
+++ b/packages/state/src/writePath.ts
@@ -1,5 +1,5 @@
 /**
- * Writes of one database: their queue, and their confirmation after they ran.
+ * Handles the writes of one database: their queue, and their confirmation after they ran.
  *
  * @internal
  */
@@ -8,14 +8,14 @@
 import { forecastConfirmation } from './confirmationForecast.js'
 import type { CoreContext } from './coreContext.js'
 import type { DatabaseGroup } from './databaseGroup.js'
-import { PendingConfirmations, fateOf, type Verdict } from './pendingConfirmations.js'
+import { PendingConfirmations, fateOf, type SettledWrite } from './pendingConfirmations.js'
 import type { Moment } from './positionTracker.js'
 import type { ProxyRequest } from './proxyRequest.js'
 import { RequestQueue } from './requestQueue.js'
 import type { SessionPositions } from './sessionPositions.js'
 
-export interface AwaitedConfirmations {
-  /** The newest write that waits; -1 for none. */
+export interface WritePositionDemand {
+  /** When the newest waiting write ran, in logical time; -1 if no write waits. */
   readonly confirmMoment: Moment
   readonly confirmSince: Milliseconds
   readonly confirmAsksLeader: boolean
@@ -30,7 +30,7 @@
   readonly #sessions: SessionPositions
   readonly #pending = new PendingConfirmations()
   #newestMoment: Moment = -1
-  /** The forecast by the reports of one version of the tracker, since each write asks for it. */
+  /** Cached for one version of the tracker's reports, because each write looks it up. */
   #forecast: number | null = null
   #forecastVersion = -1
 
@@ -44,18 +44,15 @@
     return this.#pending.size
   }
 
-  /** False, and refused, when it is already clear that the write can not be served in time. */
+  /** Refuses the write and returns false if it is predicted to be served too late. */
   admit(request: ProxyRequest, now: Milliseconds): boolean {
     return !this.#group.isWritable(now) || !this.#refusePredictedLate(request, now)
   }
 
-  /** Takes a write that ran; its answer is held until `settle` finds that a majority holds it. */
+  /** Registers a write that ran; its answer is held back until a majority holds the write. */
   ran(request: ProxyRequest, position: LogPosition, primary: BackendServer, now: Milliseconds) {
     const { latencyMilliseconds } = request.classState.targets
-    const patience = Math.max(
-      latencyMilliseconds,
-      this.#context.options.confirmationFloorMilliseconds,
-    )
+    const limit = Math.max(latencyMilliseconds, this.#context.options.confirmationFloorMilliseconds)
     request.phase = 'confirming'
     this.#newestMoment = this.#context.moment
     const write = {
@@ -63,18 +60,18 @@
       position,
       primary: primary.id,
       ranAt: now,
-      expiresAt: addMilliseconds(now, patience),
+      expiresAt: addMilliseconds(now, limit),
     }
-    const fate = fateOf(write, this.#group.tracker, this.#group.record.termStarts)
-    if (fate === null) this.#pending.add(write)
-    else this.#answer({ kind: fate, write })
+    const outcome = fateOf(write, this.#group.tracker, this.#group.record.termStarts)
+    if (outcome === null) this.#pending.add(write)
+    else this.#answer({ kind: outcome, write })
   }
 
-  /** Answers every write whose fate the servers' reports tell by now. */
+  /** Answers every write whose outcome is now decided by position reports or expiry. */
   settle(now: Milliseconds): void {
     const { tracker, record } = this.#group
-    for (const verdict of this.#pending.settle(tracker, record.termStarts, now)) {
-      this.#answer(verdict)
+    for (const settled of this.#pending.settle(tracker, record.termStarts, now)) {
+      this.#answer(settled)
     }
   }
 
@@ -90,12 +87,12 @@
     return queued < pending ? queued : pending
   }
 
-  /** Whether writes wait for a primary that takes them. */
+  /** Whether queued writes wait for a writable primary. */
   seeksLeader(now: Milliseconds): boolean {
     return this.queue.size > 0 && !this.#group.isWritable(now)
   }
 
-  wants(now: Milliseconds): AwaitedConfirmations {
+  positionDemand(now: Milliseconds): WritePositionDemand {
     const oldest = this.#pending.writes[0]
     return {
       confirmMoment: oldest === undefined ? -1 : this.#newestMoment,
@@ -112,59 +109,59 @@
     return term > position.term
   }
 
-  #answer(verdict: Verdict): void {
-    const { request, position } = verdict.write
-    const { effects, ledger } = this.#context
-    switch (verdict.kind) {
+  #answer(settled: SettledWrite): void {
+    const { request, position } = settled.write
+    const { effects, requests } = this.#context
+    switch (settled.kind) {
       case 'confirmed':
         this.#sessions.advance(request.session, position)
         effects.push({ kind: 'acknowledge', request: request.id })
         effects.count('request.served', request.classState.primaryTags)
         request.classState.budget.recordSuccess()
-        ledger.finish(request)
+        requests.finish(request)
         return
       case 'rolledBack':
-        ledger.refuse(request, 'write_rolled_back', { retryAfterMilliseconds: 0 })
+        requests.refuse(request, 'write_rolled_back', { retryAfterMilliseconds: 0 })
         return
       case 'expired':
-        // It may still be confirmed, and then the session must see it.
+        // It may still be confirmed later, and then the session must read it.
         this.#sessions.advance(request.session, position)
-        ledger.refuse(request, 'confirmation_timeout')
+        requests.refuse(request, 'confirmation_timeout')
         return
     }
   }
 
-  /** True when the write got its final answer. */
+  /** Returns true if the write was refused. */
   #refusePredictedLate(request: ProxyRequest, now: Milliseconds): boolean {
     const { leader } = this.#group
     if (leader === null) return false
-    const { ledger, options } = this.#context
+    const { requests, options } = this.#context
     const { latencyMilliseconds } = request.classState.targets
-    const patience = Math.max(latencyMilliseconds, options.confirmationFloorMilliseconds)
-    const tooLong = this.#forecastPast(patience, leader, now)
-    if (tooLong > 0) {
-      const retryAfterMilliseconds = Math.ceil(tooLong)
-      ledger.refuse(request, 'confirmation_predicted_late', { retryAfterMilliseconds })
+    const limit = Math.max(latencyMilliseconds, options.confirmationFloorMilliseconds)
+    const excess = this.#forecastExcess(limit, leader, now)
+    if (excess > 0) {
+      const retryAfterMilliseconds = Math.ceil(excess)
+      requests.refuse(request, 'confirmation_predicted_late', { retryAfterMilliseconds })
       return true
     }
     const ahead = this.queue.size + leader.reads.size
     const lateBy = leader.predictedWait(ahead, now) - (request.deadline - now)
     if (lateBy <= 0 || this.#group.isPrimaryInDoubt(now)) return false
     const retryAfterMilliseconds = Math.ceil(lateBy)
-    ledger.refuse(request, 'admission_predicted_late', { retryAfterMilliseconds })
+    requests.refuse(request, 'admission_predicted_late', { retryAfterMilliseconds })
     return true
   }
 
-  /** Milliseconds by which the forecast confirmation takes longer than `patience`; 0 if it does not. */
-  #forecastPast(patience: number, leader: BackendServer, now: Milliseconds): number {
+  /** Milliseconds by which the forecast confirmation exceeds `limit`; 0 if it does not. */
+  #forecastExcess(limit: number, leader: BackendServer, now: Milliseconds): number {
     const { tracker } = this.#group
     if (this.#forecastVersion !== tracker.version) {
       this.#forecastVersion = tracker.version
       this.#forecast = forecastConfirmation(tracker, leader.id, now)
     }
-    if (this.#forecast === null || this.#forecast <= patience) return 0
-    // Reports may have become too old since: a refusal needs them fresh.
+    if (this.#forecast === null || this.#forecast <= limit) return 0
+    // The reports may have become stale since the forecast was cached; a refusal needs fresh ones.
     const fresh = forecastConfirmation(tracker, leader.id, now) ?? 0
-    return Math.max(fresh - patience, 0)
+    return Math.max(fresh - limit, 0)
   }
 }
