--- a/packages/state/src/backendServer.ts
+++ b/packages/state/src/backendServer.ts
@@ -130,7 +130,7 @@
     this.isQuestionUrgent = true
   }
 
-  /** Clears a write refusal, but only by an answer whose question was sent after the refusal. */
+  /** Clears a refusal if the answered question was sent after it; otherwise asks again at once. */
   clearWriteRefusal(askedMoment: Moment): void {
     if (this.#refusedWriteMoment !== null && askedMoment >= this.#refusedWriteMoment) {
       this.#refusedWriteMoment = null
--- a/packages/state/src/connectionPool.ts
+++ b/packages/state/src/connectionPool.ts
@@ -15,7 +15,7 @@
   holder: ProxyRequest | null
 }
 
-/** Pause before the next attempt after a failed one; doubles up to the longest. */
+/** Pause after a failure to connect or a refusal for lack of connections; doubles each time. */
 const FIRST_PAUSE_MILLISECONDS = 50
 const LONGEST_PAUSE_MILLISECONDS = 1000
 
--- a/packages/state/src/questionPlanner.ts
+++ b/packages/state/src/questionPlanner.ts
@@ -21,7 +21,7 @@
 const LEADER_SEARCH_INTERVAL_MILLISECONDS = 15
 /** Pause between questions to a server that is being promoted. */
 const PROMOTION_INTERVAL_MILLISECONDS = 5
-const NEVER = milliseconds(Number.POSITIVE_INFINITY)
+const NOT_DUE = milliseconds(Number.POSITIVE_INFINITY)
 
 /** What waiting requests need from position questions; provided by the read and write paths. */
 export interface PositionDemand {
@@ -48,7 +48,7 @@
 export class QuestionPlanner {
   readonly #group: DatabaseGroup
   readonly #context: CoreContext
-  #dueAt: Milliseconds = NEVER
+  #dueAt: Milliseconds = NOT_DUE
   intervalMilliseconds = LONGEST_INTERVAL_MILLISECONDS
 
   constructor(group: DatabaseGroup, context: CoreContext) {
@@ -78,7 +78,7 @@
     const { tracker, leader } = this.#group
     const hasNearbyMajority = this.#group.hasEnoughNearby(tracker.majority, null)
     const hasNearbyConfirmers = this.#group.hasEnoughNearby(tracker.majority - 1, leader)
-    let next = NEVER
+    let next = NOT_DUE
     for (const server of this.#group.servers) {
       let due = this.#dueTime(server, demand, hasNearbyMajority, hasNearbyConfirmers, now)
       if (due <= now) {
@@ -104,11 +104,11 @@
     hasNearbyConfirmers: boolean,
     now: Milliseconds,
   ): Milliseconds {
-    if (!this.#group.tracker.knows(server.id)) return NEVER
+    if (!this.#group.tracker.knows(server.id)) return NOT_DUE
     if (server.question !== null) {
       return addMilliseconds(server.question.askedAt, QUESTION_TIMEOUT_MILLISECONDS)
     }
-    if (!server.breaker.isClosed) return server.breaker.probeAt ?? NEVER
+    if (!server.breaker.isClosed) return server.breaker.probeAt ?? NOT_DUE
     if (server.isQuestionUrgent) return now
     const last = server.lastAskedAt
     const isFar = server.distance === OTHER_REGION
