--- a/packages/state/src/backendServer.ts
+++ b/packages/state/src/backendServer.ts
@@ -24,10 +24,10 @@
 export type Distance = 0 | 1 | 2
 export const OTHER_REGION: Distance = 2
 
-/** Bounds of the pause between questions while requests wait for a position to advance. */
-const SHORTEST_INTERVAL_MILLISECONDS = 1
-const LONGEST_INTERVAL_MILLISECONDS = 20
-const INTERVAL_GROWTH = 1.5
+/** Bounds of the interval between questions while requests wait for a position to advance. */
+const SHORTEST_POLL_INTERVAL_MILLISECONDS = 1
+const LONGEST_POLL_INTERVAL_MILLISECONDS = 20
+const POLL_INTERVAL_GROWTH = 1.5
 
 /** A position question without an answer yet; at most one is open per server. */
 interface OpenQuestion {
@@ -47,7 +47,7 @@
   #question: OpenQuestion | null = null
   #lastAskedAt: Milliseconds = milliseconds(Number.NEGATIVE_INFINITY)
   #lastAskedMoment: Moment = -1
-  #questionInterval = SHORTEST_INTERVAL_MILLISECONDS
+  #pollInterval = SHORTEST_POLL_INTERVAL_MILLISECONDS
   /** Asks at once, since the answer may explain a refusal or a closed connection. */
   isQuestionUrgent = false
   #lastQuestionFailed = false
@@ -104,8 +104,8 @@
     return this.#refusedWriteMoment !== null
   }
 
-  get questionInterval(): number {
-    return this.#questionInterval
+  get pollInterval(): number {
+    return this.#pollInterval
   }
 
   update(listed: ListedBackendServer, now: Milliseconds): void {
@@ -153,10 +153,10 @@
   }
 
   /** Backs off exponentially while answers are unchanged; resets after one that is not. */
-  adaptQuestionInterval(advanced: boolean): void {
-    this.#questionInterval = advanced
-      ? SHORTEST_INTERVAL_MILLISECONDS
-      : Math.min(this.#questionInterval * INTERVAL_GROWTH, LONGEST_INTERVAL_MILLISECONDS)
+  adaptPollInterval(advanced: boolean): void {
+    this.#pollInterval = advanced
+      ? SHORTEST_POLL_INTERVAL_MILLISECONDS
+      : Math.min(this.#pollInterval * POLL_INTERVAL_GROWTH, LONGEST_POLL_INTERVAL_MILLISECONDS)
   }
 
   /**
--- a/packages/state/src/database.ts
+++ b/packages/state/src/database.ts
@@ -156,7 +156,7 @@
     const { tracker } = this.group
     const before = tracker.reportOf(server.id)
     tracker.record(server.id, report, question.askedAt, question.moment)
-    server.adaptQuestionInterval(before === null || isChanged(before, report))
+    server.adaptPollInterval(before === null || isChanged(before, report))
     server.clearWriteRefusal(question.moment)
     server.breaker.recordSuccess()
     this.#reportHealth(server, 'reachable')
--- a/packages/state/src/questionPlanner.ts
+++ b/packages/state/src/questionPlanner.ts
@@ -113,17 +113,17 @@
     const last = server.lastAskedAt
     const isFar = server.distance === OTHER_REGION
     let due = addMilliseconds(last, this.#interval(server, isFar && hasNearbyMajority))
-    const dueByInterval = addMilliseconds(
+    const nextPollAt = addMilliseconds(
       last,
-      server.lastQuestionFailed ? RETRY_INTERVAL_MILLISECONDS : server.questionInterval,
+      server.lastQuestionFailed ? RETRY_INTERVAL_MILLISECONDS : server.pollInterval,
     )
     if (demand.boundMoment >= 0 && this.#lacksAnswerSince(server, demand.boundMoment)) {
-      const at = server.lastQuestionFailed ? dueByInterval : now
+      const at = server.lastQuestionFailed ? nextPollAt : now
       due = earlier(due, isFar && hasNearbyMajority ? hedged(demand.boundSince, at) : at)
     }
     const countsForConfirmation = demand.confirmAsksLeader || server !== this.#group.leader
     if (demand.confirmMoment >= 0 && countsForConfirmation) {
-      const at = server.lastAskedMoment < demand.confirmMoment ? now : dueByInterval
+      const at = server.lastAskedMoment < demand.confirmMoment ? now : nextPollAt
       due = earlier(due, isFar && hasNearbyConfirmers ? hedged(demand.confirmSince, at) : at)
     }
     if (demand.seeksLeader)
@@ -131,7 +131,7 @@
     if (demand.catchUpSince !== null) {
       due = earlier(
         due,
-        isFar && hasNearbyMajority ? hedged(demand.catchUpSince, dueByInterval) : dueByInterval,
+        isFar && hasNearbyMajority ? hedged(demand.catchUpSince, nextPollAt) : nextPollAt,
       )
     }
     return due
