--- a/packages/state/__tests__/differential/callers.ts
+++ b/packages/state/__tests__/differential/callerChecker.ts
@@ -1,6 +1,6 @@
-/** What callers asked and were told, and whether they could have been told so by the naive version. */
+/** Records the callers' requests and answers, and checks them against the naive reference database. */
 import { REASONS, type Reason } from '@nutmegcourse/shared'
-import { NaiveDatabase, type ListLength } from './naiveDatabase.js'
+import { NaiveDatabase, type AcknowledgedCount } from './naiveDatabase.js'
 
 export interface CallerRequest {
   readonly id: string
@@ -9,27 +9,27 @@
   readonly access: 'read' | 'write'
   readonly idempotent: boolean
   readonly freshnessMilliseconds: number
-  /** It opens a transaction, of which a later request's commit alone lasts. */
+  /** It opens a transaction; only the write of the later commit request is kept. */
   readonly opensTransaction: boolean
-  /** What was acknowledged when it arrived. */
-  readonly acknowledgedBefore: ListLength
+  /** How many writes were acknowledged when it arrived. */
+  readonly acknowledgedBefore: AcknowledgedCount
   answers: number
   outcome: 'none' | 'served' | 'abandoned' | Reason
 }
 
-export class Callers {
+export class CallerChecker {
   readonly naive = new NaiveDatabase()
   readonly requests = new Map<string, CallerRequest>()
   readonly violations: string[] = []
 
-  ask(given: Omit<CallerRequest, 'acknowledgedBefore' | 'answers' | 'outcome'>): void {
+  request(given: Omit<CallerRequest, 'acknowledgedBefore' | 'answers' | 'outcome'>): void {
     const acknowledgedBefore = this.naive.length
     this.requests.set(given.id, { ...given, acknowledgedBefore, answers: 0, outcome: 'none' })
   }
 
-  /** A further statement of the transaction that `opener` opened. */
-  askAgain(id: string, opener: string): void {
-    this.ask({ ...this.get(opener), id, opensTransaction: false })
+  /** Records a further statement of the transaction that `opener` opened. */
+  requestAgain(id: string, opener: string): void {
+    this.request({ ...this.get(opener), id, opensTransaction: false })
   }
 
   abandon(id: string): void {
@@ -46,23 +46,23 @@
     this.#answer(id, reason)
   }
 
-  /** A read's answer; `sentAt` is when it was sent to its server. */
-  readAnswered(id: string, seen: readonly string[], sentAt: number): void {
+  /** Records and checks a read's answer; `sentAt` is when the read was sent to its server. */
+  answerRead(id: string, seen: readonly string[], sentAt: number): void {
     const request = this.#answer(id, 'served')
     const { session, freshnessMilliseconds: age, acknowledgedBefore: before } = request
     const seenWrites = new Set(seen)
-    const owed = [
+    const required = [
       ...this.naive.ownWrites(session, before),
       ...(age === 0 ? this.naive.allWrites(before) : this.naive.writesBefore(sentAt - age)),
     ]
-    const missing = owed.filter(write => !seenWrites.has(write))
+    const missing = required.filter(write => !seenWrites.has(write))
     if (missing.length > 0) this.violations.push(`stale: ${id} does not see ${missing.join()}`)
   }
 
-  /** Compares what was told with what the database holds in the end. */
-  settle(held: readonly string[]): void {
+  /** Compares the answers with the writes that the database holds in the end. */
+  checkFinalState(found: readonly string[]): void {
     const counts = new Map<string, number>()
-    for (const write of held) counts.set(write, (counts.get(write) ?? 0) + 1)
+    for (const write of found) counts.set(write, (counts.get(write) ?? 0) + 1)
     for (const write of this.naive.writes) {
       if (!counts.has(write)) this.violations.push(`lost: ${write}`)
     }
--- a/packages/state/__tests__/differential/eventQueue.ts
+++ b/packages/state/__tests__/differential/eventQueue.ts
@@ -1,16 +1,16 @@
-/** Virtual time: things happen in the order of their times, equal times in the order of planning. */
+/** Event queue in virtual time: events run in the order of their times, then of their scheduling. */
 import TinyQueue from 'tinyqueue'
 import { VirtualClock, type Milliseconds } from '@nutmegcourse/shared'
 
-interface PlannedEvent {
+interface ScheduledEvent {
   readonly at: number
   readonly order: number
-  readonly happen: () => void
+  readonly run: () => void
 }
 
 export class EventQueue {
   readonly #clock = new VirtualClock()
-  readonly #events = new TinyQueue<PlannedEvent>(
+  readonly #events = new TinyQueue<ScheduledEvent>(
     [],
     (left, right) => left.at - right.at || left.order - right.order,
   )
@@ -20,12 +20,12 @@
     return this.#clock.now()
   }
 
-  after(delay: number, happen: () => void): void {
+  schedule(delay: number, run: () => void): void {
     this.#order += 1
-    this.#events.push({ at: this.now() + delay, order: this.#order, happen })
+    this.#events.push({ at: this.now() + delay, order: this.#order, run })
   }
 
-  /** Runs everything planned up to the span's end. */
+  /** Advances the clock by the span and runs all events up to its end. */
   advance(span: number): void {
     const end = this.now() + span
     for (;;) {
@@ -33,7 +33,7 @@
       if (next === undefined || next.at > end) break
       this.#events.pop()
       this.#clock.advance(Math.max(next.at - this.now(), 0))
-      next.happen()
+      next.run()
     }
     this.#clock.advance(end - this.now())
   }
--- a/packages/state/__tests__/differential/fakeBackendServer.ts
+++ b/packages/state/__tests__/differential/fakeBackendServer.ts
@@ -1,4 +1,4 @@
-/** A backend server in memory: a log, a fence and a role, as the platform's control statements tell. */
+/** An in-memory backend server with a log, a fence and a role, as the platform's control statements define them. */
 import { logPosition, term, type LogPosition } from '@nutmegcourse/shared'
 import type { PositionReport } from '@nutmegcourse/protocol'
 
@@ -11,14 +11,14 @@
 export class FakeBackendServer {
   readonly name: string
   isAlive = true
-  /** Takes no records from its primary for now. */
+  /** It receives no records from its primary for the time being. */
   isLagging = false
   #log: LogRecord[] = []
   #fencedTerm = 0
   #ledTerm: number | null = null
   #followedTerm: number | null = null
-  /** Grows when callers' connections are closed; an older connection is broken. */
-  life = 0
+  /** Incremented when callers' connections are closed; connections of earlier incarnations are broken. */
+  incarnation = 0
 
   constructor(name: string) {
     this.name = name
@@ -49,7 +49,7 @@
     return this.#ledTerm !== null && this.#fencedTerm <= this.#ledTerm
   }
 
-  /** False when it may not write now; then nothing of the write ran. */
+  /** Returns false if the server may not write; then nothing of the write ran. */
   run(write: string): boolean {
     if (this.#ledTerm === null || !this.canWrite) return false
     this.#log.push({ term: this.#ledTerm, write })
@@ -59,7 +59,7 @@
   fence(fenced: number): boolean {
     if (fenced < this.#fencedTerm) return false
     this.#fencedTerm = fenced
-    if (this.#ledTerm !== null && this.#ledTerm < fenced) this.life += 1
+    if (this.#ledTerm !== null && this.#ledTerm < fenced) this.incarnation += 1
     return true
   }
 
@@ -71,30 +71,30 @@
     return true
   }
 
-  /** Becomes a replica of `primary` and discards what that lacks. */
+  /** Becomes a replica of `primary` and discards the records that it lacks. */
   follow(primary: FakeBackendServer): boolean {
     const led = primary.ledTerm
     if (led === null || led < this.#fencedTerm || primary === this) return false
     this.#fencedTerm = led
     this.#ledTerm = null
     this.#followedTerm = led
-    this.life += 1
+    this.incarnation += 1
     const firstDifference = this.#log.findIndex(
-      (record, index) => !isSame(record, primary.#log[index]),
+      (record, index) => !isSameRecord(record, primary.#log[index]),
     )
     if (firstDifference >= 0) this.#log.length = firstDifference
     return true
   }
 
-  /** Takes up to `most` further records. */
-  replicateFrom(primary: FakeBackendServer, most: number): void {
+  /** Copies up to `maxRecords` further records. */
+  replicateFrom(primary: FakeBackendServer, maxRecords: number): void {
     const led = primary.ledTerm
     if (this.#followedTerm !== led || led === null || this.#fencedTerm > led) return
     if (this.isLagging) return
-    this.#log.push(...primary.#log.slice(this.#log.length, this.#log.length + most))
+    this.#log.push(...primary.#log.slice(this.#log.length, this.#log.length + maxRecords))
   }
 }
 
-function isSame(left: LogRecord, right: LogRecord | undefined): boolean {
+function isSameRecord(left: LogRecord, right: LogRecord | undefined): boolean {
   return left.term === right?.term && left.write === right.write
 }
--- a/packages/state/__tests__/differential/fakeGroup.ts
+++ b/packages/state/__tests__/differential/fakeGroup.ts
@@ -1,4 +1,4 @@
-/** One database group with its record in the store and a coordinator that changes its primary. */
+/** A database group with its record in the store and a coordinator that changes its primary. */
 import { logPosition, term, type SeededRandom } from '@nutmegcourse/shared'
 import { backendServerId, comparePositions } from '@nutmegcourse/shared'
 import type { GroupRecord, TermStart } from '@nutmegcourse/protocol'
@@ -6,9 +6,9 @@
 import type { EventQueue } from './eventQueue.js'
 import { FakeBackendServer } from './fakeBackendServer.js'
 
-const REPLICATION_PERIOD = 2
-const REPAIR_PERIOD = 40
-/** The coordinator's place in `canReach`. */
+const REPLICATION_PERIOD_MILLISECONDS = 2
+const REPAIR_PERIOD_MILLISECONDS = 40
+/** The coordinator's name for `canReach`. */
 export const COORDINATOR = 'coordinator'
 
 export class FakeGroup {
@@ -18,7 +18,7 @@
   onRecord: () => void = () => undefined
   readonly #events: EventQueue
   readonly #random: SeededRandom
-  /** Parties on the far side of a partition. */
+  /** Participants on one side of a partition; all others are on the other side. */
   cutOff = new Set<string>()
 
   constructor(events: EventQueue, random: SeededRandom) {
@@ -52,63 +52,67 @@
     return this.cutOff.has(from) === this.cutOff.has(to)
   }
 
-  /** Starts a change of primary that stops for good after `steps` of its four steps. */
+  /** Starts a change of primary that ends after `steps` of its four steps. */
   failOver(steps: number): void {
-    const taken = this.record.term + 1
-    this.#change({ ...this.record, term: term(taken), phase: { kind: 'fencing', target: null } })
+    const newTerm = this.record.term + 1
+    this.#setRecord({
+      ...this.record,
+      term: term(newTerm),
+      phase: { kind: 'fencing', target: null },
+    })
     if (steps > 1)
-      this.#later(() => {
-        this.#fenceAndChoose(taken, steps)
+      this.#schedule(() => {
+        this.#fenceAndChoose(newTerm, steps)
       })
   }
 
-  /** Writes stop at the old primary, which then is replaced or goes on. */
+  /** Starts a planned change: writes stop at the old primary, which is then replaced or resumes. */
   move(completes: boolean): void {
     const { term: led, primary, phase } = this.record
     if (phase.kind !== 'stable' || primary === null) return
     const target = backendServerId(primary === 'a' ? 'b' : 'a')
-    this.#change({ ...this.record, phase: { kind: 'moving', target } })
-    this.#later(() => {
+    this.#setRecord({ ...this.record, phase: { kind: 'moving', target } })
+    this.#schedule(() => {
       if (this.record.term !== led || this.record.phase.kind !== 'moving') return
       if (completes) this.failOver(4)
-      else this.#change({ ...this.record, phase: { kind: 'stable' } })
+      else this.#setRecord({ ...this.record, phase: { kind: 'stable' } })
     })
   }
 
-  #fenceAndChoose(taken: number, steps: number): void {
-    if (this.record.term !== taken) return
-    const fenced = this.#reachable().filter(server => server.fence(taken))
+  #fenceAndChoose(newTerm: number, steps: number): void {
+    if (this.record.term !== newTerm) return
+    const fenced = this.#reachable().filter(server => server.fence(newTerm))
     if (fenced.length < 2 || steps < 3) return
     const chosen = fenced.reduce((best, server) =>
       comparePositions(server.position, best.position) > 0 ? server : best,
     )
     const primary = backendServerId(chosen.name)
-    const start: TermStart = { term: term(taken), primary, startsAfter: chosen.position }
-    this.#later(() => {
-      if (this.record.term !== taken) return
-      this.#change({
+    const start: TermStart = { term: term(newTerm), primary, startsAfter: chosen.position }
+    this.#schedule(() => {
+      if (this.record.term !== newTerm) return
+      this.#setRecord({
         ...this.record,
         phase: { kind: 'promoting', chosen: primary },
         termStarts: [...this.record.termStarts, start].slice(-16),
       })
       if (steps > 3)
-        this.#later(() => {
-          this.#promote(chosen, taken)
+        this.#schedule(() => {
+          this.#promote(chosen, newTerm)
         })
     })
   }
 
-  #promote(chosen: FakeBackendServer, taken: number): void {
+  #promote(chosen: FakeBackendServer, newTerm: number): void {
     if (!chosen.isAlive || !this.canReach(COORDINATOR, chosen.name)) return
-    if (!chosen.promote(taken)) return
-    this.#later(() => {
-      if (this.record.term !== taken) return
+    if (!chosen.promote(newTerm)) return
+    this.#schedule(() => {
+      if (this.record.term !== newTerm) return
       const primary = backendServerId(chosen.name)
-      this.#change({ ...this.record, primary, phase: { kind: 'stable' } })
+      this.#setRecord({ ...this.record, primary, phase: { kind: 'stable' } })
     })
   }
 
-  /** Makes stragglers follow the leader of a finished change. */
+  /** Makes the other servers follow the primary of a completed change. */
   #repair(): void {
     const { primary, phase, term: led } = this.record
     if (phase.kind === 'stable' && primary !== null) {
@@ -120,7 +124,7 @@
         }
       }
     }
-    this.#events.after(REPAIR_PERIOD, () => {
+    this.#events.schedule(REPAIR_PERIOD_MILLISECONDS, () => {
       this.#repair()
     })
   }
@@ -133,7 +137,7 @@
         if (this.canReach(primary.name, replica.name)) replica.replicateFrom(primary, 3)
       }
     }
-    this.#events.after(REPLICATION_PERIOD, () => {
+    this.#events.schedule(REPLICATION_PERIOD_MILLISECONDS, () => {
       this.#replicate()
     })
   }
@@ -142,12 +146,12 @@
     return this.servers.filter(server => server.isAlive && this.canReach(COORDINATOR, server.name))
   }
 
-  #change(record: GroupRecord): void {
+  #setRecord(record: GroupRecord): void {
     this.record = record
     this.onRecord()
   }
 
-  #later(happen: () => void): void {
-    this.#events.after(1 + this.#random.next() * 30, happen)
+  #schedule(action: () => void): void {
+    this.#events.schedule(1 + this.#random.next() * 30, action)
   }
 }
--- a/packages/state/__tests__/differential/fakeShell.ts
+++ b/packages/state/__tests__/differential/fakeShell.ts
@@ -1,7 +1,7 @@
 /**
- * The shell around one core: carries out its effects against the fake servers. An answer is given to
- * whatever request its connection holds when it arrives, as bytes on a socket would be, so that a
- * connection used again too early shows as a crossed answer.
+ * The shell around one core, which carries out its effects against the fake servers. An answer goes to the
+ * request that its connection holds when it arrives, like bytes on a socket, so that a connection that is
+ * reused too early shows as a crossed answer.
  */
 import {
   assertNever,
@@ -17,25 +17,25 @@
   type ProxyMessage,
 } from '../../src/index.js'
 import type { Effect } from '../coreFixture.js'
-import type { Callers } from './callers.js'
+import type { CallerChecker } from './callerChecker.js'
 import type { EventQueue } from './eventQueue.js'
 import type { FakeBackendServer } from './fakeBackendServer.js'
 import type { FakeGroup } from './fakeGroup.js'
 import type { Mutation } from './mutations.js'
 
-const QUESTION_TIMEOUT = 300
-const CONNECT_TIMEOUT = 200
-const SWEEP_PERIOD = 5
-/** A leaving server gets nothing new after this. */
-const LONGEST_NEW_WORK = 3000
+const POSITION_TIMEOUT_MILLISECONDS = 300
+const CONNECT_TIMEOUT_MILLISECONDS = 200
+const SWEEP_PERIOD_MILLISECONDS = 5
+/** How long after it started to leave a server may get new work. */
+const NEW_WORK_LIMIT_MILLISECONDS = 3000
 
 interface FakeConnection {
   readonly id: ConnectionId
   readonly server: FakeBackendServer
-  readonly life: number
+  readonly incarnation: number
   holder: string | null
   isRunning: boolean
-  /** The request that opened the transaction which the server has open on it. */
+  /** The request that opened the server's open transaction on this connection. */
   transaction: string | null
 }
 
@@ -52,11 +52,11 @@
   readonly #core: ProxyCore
   readonly #events: EventQueue
   readonly #group: FakeGroup
-  readonly #callers: Callers
+  readonly #callers: CallerChecker
   readonly #random: RandomSource
   readonly #mutation: Mutation
   readonly #connections = new Map<ConnectionId, FakeConnection>()
-  readonly #openerOf = new Map<string, string>()
+  readonly #openerByCommit = new Map<string, string>()
   readonly #leavingSince = new Map<string, number>()
   #answersToLose = 0
   #wakeAt = Number.POSITIVE_INFINITY
@@ -66,7 +66,7 @@
   constructor(
     name: string,
     core: ProxyCore,
-    parts: { events: EventQueue; group: FakeGroup; callers: Callers; random: RandomSource },
+    parts: { events: EventQueue; group: FakeGroup; callers: CallerChecker; random: RandomSource },
     mutation: Mutation,
   ) {
     this.name = name
@@ -76,11 +76,11 @@
     this.#callers = parts.callers
     this.#random = parts.random
     this.#mutation = mutation
-    this.#sweep()
+    this.#detectClosedConnections()
   }
 
-  /** Notes what the snapshot that follows will tell of leaving servers. */
-  listed(name: string, isLeaving: boolean): void {
+  /** Records whether the next snapshot lists the server as leaving. */
+  noteListed(name: string, isLeaving: boolean): void {
     if (!isLeaving) this.#leavingSince.delete(name)
     else if (!this.#leavingSince.has(name)) this.#leavingSince.set(name, this.#events.now())
   }
@@ -89,7 +89,7 @@
     this.#answersToLose += count
   }
 
-  /** Its servers see its connections close; whatever it sent before may still run. */
+  /** Drops all connections; requests that were already sent may still run. */
   crash(): void {
     this.#isCrashed = true
     this.#connections.clear()
@@ -98,7 +98,7 @@
   send(message: ProxyMessage): void {
     if (this.#isCrashed) return
     for (const effect of this.#core.handle(message, this.#events.now())) this.#carryOut(effect)
-    this.#planWake()
+    this.#scheduleWake()
   }
 
   #carryOut(effect: ProxyEffect): void {
@@ -142,30 +142,30 @@
   #sendRequest(connection: FakeConnection, request: string, readOnly: boolean): void {
     connection.holder = request
     connection.isRunning = true
-    const { server, life } = connection
+    const { server, incarnation } = connection
     const sentAt = this.#events.now()
-    this.#arrive(server, life, () => {
+    this.#deliver(server, incarnation, () => {
       const ran = this.#execute(connection, request, readOnly)
       const answer = { request, ran, seen: server.writes, position: server.position, sentAt }
       if (this.#answersToLose > 0) {
         this.#answersToLose -= 1
-        this.#later(() => {
+        this.#schedule(() => {
           if (this.#mutation.takesLostAnswerForRefusal === true) {
-            this.#ranOn(connection, { ...answer, ran: false })
-          } else this.#broken(connection)
+            this.#handleAnswer(connection, { ...answer, ran: false })
+          } else this.#handleBroken(connection)
         })
         return
       }
-      this.#arrive(server, life, () => {
-        this.#ranOn(connection, answer)
+      this.#deliver(server, incarnation, () => {
+        this.#handleAnswer(connection, answer)
       })
     })
   }
 
-  /** False when the server refused it. */
+  /** Returns false if the server refused the request. */
   #execute(connection: FakeConnection, request: string, readOnly: boolean): boolean {
     const { opensTransaction } = this.#callers.get(request)
-    const opener = this.#openerOf.get(request) ?? null
+    const opener = this.#openerByCommit.get(request) ?? null
     if (connection.transaction !== opener) {
       this.#callers.violations.push(
         `mixed: ${request} ran inside ${connection.transaction ?? 'none'}`,
@@ -178,7 +178,7 @@
     return connection.server.canWrite
   }
 
-  /** The caller goes on with its transaction, or leaves it open. */
+  /** The caller commits its transaction, or abandons it. */
   #continueTransaction(connection: FakeConnection, opener: string): void {
     if (this.#connections.get(connection.id) !== connection) return
     if (this.#random.next() < 0.2) {
@@ -186,8 +186,8 @@
       return
     }
     const commit = `commit-${opener}`
-    this.#openerOf.set(commit, opener)
-    this.#callers.askAgain(commit, opener)
+    this.#openerByCommit.set(commit, opener)
+    this.#callers.requestAgain(commit, opener)
     this.#sendRequest(connection, commit, false)
     this.send({
       kind: 'transactionContinued',
@@ -198,21 +198,21 @@
 
   #checkLeaving(server: FakeBackendServer): void {
     const since = this.#leavingSince.get(server.name)
-    if (since !== undefined && this.#events.now() > since + LONGEST_NEW_WORK) {
+    if (since !== undefined && this.#events.now() > since + NEW_WORK_LIMIT_MILLISECONDS) {
       this.#callers.violations.push(`new work for leaving ${server.name}`)
     }
   }
 
-  /** Bytes that a partition holds up arrive, late, once it has healed. */
-  #arrive(server: FakeBackendServer, life: number, happen: () => void): void {
-    this.#later(() => {
-      if (server.life !== life) return
-      if (this.#group.canReach(this.name, server.name)) happen()
-      else this.#arrive(server, life, happen)
+  /** Bytes that a partition holds up arrive late, once it has healed. */
+  #deliver(server: FakeBackendServer, incarnation: number, action: () => void): void {
+    this.#schedule(() => {
+      if (server.incarnation !== incarnation) return
+      if (this.#group.canReach(this.name, server.name)) action()
+      else this.#deliver(server, incarnation, action)
     })
   }
 
-  #ranOn(connection: FakeConnection, answer: ServerAnswer): void {
+  #handleAnswer(connection: FakeConnection, answer: ServerAnswer): void {
     const { holder } = connection
     if (this.#connections.get(connection.id) !== connection || holder === null) return
     if (holder !== answer.request) {
@@ -222,7 +222,7 @@
     const transactionOpen = answer.ran && connection.transaction !== null
     const request = this.#callers.get(holder)
     const isWrite = request.access === 'write'
-    if (!isWrite) this.#callers.readAnswered(holder, answer.seen, answer.sentAt)
+    if (!isWrite) this.#callers.answerRead(holder, answer.seen, answer.sentAt)
     if (isWrite && answer.ran && this.#mutation.acknowledgesAtOnce === true) {
       this.#acknowledge(holder)
     }
@@ -235,7 +235,7 @@
       refusedUnrun: !answer.ran,
     })
     if (!transactionOpen) return
-    this.#events.after(this.#random.next() * 20, () => {
+    this.#events.schedule(this.#random.next() * 20, () => {
       this.#continueTransaction(connection, holder)
     })
   }
@@ -247,21 +247,21 @@
   #open({ connection: id, server: name }: Effect<'open'>): void {
     const server = this.#group.server(name)
     if (!this.#group.canReach(this.name, name)) {
-      this.#events.after(CONNECT_TIMEOUT, () => {
+      this.#events.schedule(CONNECT_TIMEOUT_MILLISECONDS, () => {
         this.send({ kind: 'connectionFailed', connection: id, failure: 'timeout' })
       })
       return
     }
-    this.#later(() => {
+    this.#schedule(() => {
       if (!server.isAlive) {
         this.send({ kind: 'connectionFailed', connection: id, failure: 'refused' })
         return
       }
-      const { life } = server
+      const { incarnation } = server
       this.#connections.set(id, {
         id,
         server,
-        life,
+        incarnation,
         holder: null,
         isRunning: false,
         transaction: null,
@@ -276,12 +276,12 @@
     if (connection?.isRunning !== true || connection.holder === null) return
     const { holder } = connection
     if (this.#callers.get(holder).outcome !== 'none') return
-    this.#events.after(0, () => {
+    this.#events.schedule(0, () => {
       this.send({ kind: 'requestBroken', request: requestId(holder), partlyAnswered: false })
     })
   }
 
-  #broken(connection: FakeConnection): void {
+  #handleBroken(connection: FakeConnection): void {
     if (!this.#connections.delete(connection.id)) return
     this.send({ kind: 'connectionClosed', connection: connection.id })
     if (!connection.isRunning || connection.holder === null) return
@@ -293,49 +293,49 @@
     const server = this.#group.server(name)
     const askedAt = this.#events.now()
     const id = backendServerId(name)
-    const answering = this.#mutation.answersFor?.(this.name, server, this.#group) ?? server
+    const responder = this.#mutation.responder?.(this.name, server, this.#group) ?? server
     const fail = (): void => {
       this.send({ kind: 'positionFailed', server: id, askedAt })
     }
-    this.#later(() => {
-      if (!this.#group.canReach(this.name, answering.name)) {
-        this.#events.after(QUESTION_TIMEOUT, fail)
+    this.#schedule(() => {
+      if (!this.#group.canReach(this.name, responder.name)) {
+        this.#events.schedule(POSITION_TIMEOUT_MILLISECONDS, fail)
         return
       }
-      if (!answering.isAlive) {
+      if (!responder.isAlive) {
         fail()
         return
       }
-      const role = answering === server ? server.report.role : 'replica'
-      const heard = { ...answering.report, role }
-      const report = this.#mutation.report?.(heard) ?? heard
-      this.#later(() => {
-        if (this.#group.canReach(this.name, answering.name)) {
+      const role = responder === server ? server.report.role : 'replica'
+      const received = { ...responder.report, role }
+      const report = this.#mutation.report?.(received) ?? received
+      this.#schedule(() => {
+        if (this.#group.canReach(this.name, responder.name)) {
           this.send({ kind: 'positionAnswered', server: id, report, askedAt })
-        } else this.#events.after(QUESTION_TIMEOUT, fail)
+        } else this.#events.schedule(POSITION_TIMEOUT_MILLISECONDS, fail)
       })
     })
   }
 
-  /** Notices connections that their servers closed. */
-  #sweep(): void {
+  /** Detects connections that their servers closed. */
+  #detectClosedConnections(): void {
     if (this.#isCrashed) return
     for (const connection of [...this.#connections.values()]) {
-      const { server, life } = connection
+      const { server, incarnation } = connection
       if (!this.#group.canReach(this.name, server.name)) continue
-      if (!server.isAlive || server.life !== life) this.#broken(connection)
+      if (!server.isAlive || server.incarnation !== incarnation) this.#handleBroken(connection)
     }
-    this.#events.after(SWEEP_PERIOD, () => {
-      this.#sweep()
+    this.#events.schedule(SWEEP_PERIOD_MILLISECONDS, () => {
+      this.#detectClosedConnections()
     })
   }
 
-  #planWake(): void {
+  #scheduleWake(): void {
     const wake = this.#core.nextWake(this.#events.now())
     if (wake === null || wake >= this.#wakeAt) return
     this.#wakeAt = wake
     const delay = Math.max(wake - this.#events.now(), 0.1)
-    this.#events.after(delay, () => {
+    this.#events.schedule(delay, () => {
       if (this.#wakeAt !== wake) return
       this.#wakeAt = Number.POSITIVE_INFINITY
       this.send({ kind: 'tick' })
@@ -346,7 +346,7 @@
     return this.#mutation.position?.(position) ?? position
   }
 
-  #later(happen: () => void): void {
-    this.#events.after(0.5 + this.#random.next() * 2.5, happen)
+  #schedule(action: () => void): void {
+    this.#events.schedule(0.5 + this.#random.next() * 2.5, action)
   }
 }
--- a/packages/state/__tests__/differential/fleet.ts
+++ b/packages/state/__tests__/differential/fleet.ts
@@ -1,4 +1,4 @@
-/** Two proxies before one database group, driven by a list of actions under virtual time. */
+/** Simulates two proxies in front of one database group, driven by a list of actions in virtual time. */
 import {
   SeededRandom,
   availabilityZoneId,
@@ -11,7 +11,7 @@
 import type { RoutingSnapshot } from '@nutmegcourse/protocol'
 import { ProxyCore } from '../../src/index.js'
 import { CLASSES, DATABASE, SERVERS, listedServer, type ServerName } from '../coreFixture.js'
-import { Callers } from './callers.js'
+import { CallerChecker } from './callerChecker.js'
 import { EventQueue } from './eventQueue.js'
 import { COORDINATOR, FakeGroup } from './fakeGroup.js'
 import { FakeShell } from './fakeShell.js'
@@ -22,44 +22,44 @@
 
 export type FleetAction =
   | {
-      readonly kind: 'ask'
+      readonly kind: 'request'
       readonly proxy: ProxyName
       readonly session: string
       readonly class: string
-      /** It opens a transaction, which the caller commits a little later. */
+      /** It opens a transaction, which the caller usually commits a little later. */
       readonly transaction?: boolean
     }
-  | { readonly kind: 'leave' | 'stop' | 'crash'; readonly proxy: ProxyName }
+  | { readonly kind: 'abandon' | 'stop' | 'crash'; readonly proxy: ProxyName }
   | { readonly kind: 'list'; readonly server: ServerName; readonly state: 'live' | 'leaving' }
   | { readonly kind: 'kill' | 'restart' | 'lag' | 'catchUp'; readonly server: ServerName }
   | { readonly kind: 'partition'; readonly cutOff: readonly string[] }
   | { readonly kind: 'heal' }
-  /** A change of primary that stops after so many of its four steps. */
+  /** A change of primary that ends after `steps` of its four steps. */
   | { readonly kind: 'failOver'; readonly steps: number }
   | { readonly kind: 'move'; readonly completes: boolean }
   | { readonly kind: 'loseAnswers'; readonly proxy: ProxyName; readonly count: number }
 
 export interface TimedAction {
   readonly action: FleetAction
-  /** Milliseconds before it. */
+  /** Milliseconds to wait before the action. */
   readonly delay: number
 }
 
-const PLACES: Record<ProxyName, readonly [string, string]> = {
+const LOCATIONS: Record<ProxyName, readonly [string, string]> = {
   p1: ['tanger-nord', 'tanger'],
   p2: ['casa-est', 'casa'],
 }
 const SETTLING_MILLISECONDS = 12_000
 
 export class Fleet {
-  readonly callers = new Callers()
+  readonly callers = new CallerChecker()
   readonly #events = new EventQueue()
   readonly #random: SeededRandom
   readonly #group: FakeGroup
   readonly #shells: Record<ProxyName, FakeShell>
-  #lives = 0
+  #crashes = 0
   readonly #mutation: Mutation
-  readonly #newest = new Map<ProxyName, string>()
+  readonly #latestRequests = new Map<ProxyName, string>()
   readonly #leaving = new Set<ServerName>()
   readonly #stopping = new Set<ProxyName>()
   #sequence = 0
@@ -71,17 +71,17 @@
     this.#group = new FakeGroup(this.#events, this.#random)
     this.#shells = { p1: this.#newShell('p1'), p2: this.#newShell('p2') }
     this.#group.onRecord = () => {
-      this.#spreadRecord()
+      this.#propagateRecord()
     }
-    for (const name of PROXIES) this.#tell(name)
+    for (const name of PROXIES) this.#sendSnapshot(name)
     this.#events.advance(50)
   }
 
-  /** Runs the actions, then lets everything heal, and returns what callers should not have seen. */
+  /** Runs the actions, ends all faults, and returns the violations that callers saw. */
   run(actions: readonly TimedAction[]): readonly string[] {
     for (const { action, delay } of actions) {
       this.#events.advance(delay)
-      this.#act(action)
+      this.#perform(action)
     }
     this.#events.advance(50)
     this.#heal()
@@ -91,22 +91,22 @@
     for (const name of this.#stopping) {
       if (!this.#shells[name].stopped) this.callers.violations.push(`${name} did not stop`)
     }
-    this.callers.settle(primary === null ? [] : this.#group.server(primary).writes)
+    this.callers.checkFinalState(primary === null ? [] : this.#group.server(primary).writes)
     return this.callers.violations
   }
 
-  #act(action: FleetAction): void {
+  #perform(action: FleetAction): void {
     switch (action.kind) {
-      case 'ask':
-        this.#ask(action.proxy, action.session, action.class, action.transaction === true)
+      case 'request':
+        this.#request(action.proxy, action.session, action.class, action.transaction === true)
         return
-      case 'leave':
-        this.#leave(action.proxy)
+      case 'abandon':
+        this.#abandon(action.proxy)
         return
       case 'kill': {
         const server = this.#group.server(action.server)
         server.isAlive = false
-        server.life += 1
+        server.incarnation += 1
         return
       }
       case 'restart':
@@ -139,7 +139,7 @@
         return
       case 'list':
         this.#leaving[action.state === 'leaving' ? 'add' : 'delete'](action.server)
-        for (const name of PROXIES) this.#tell(name)
+        for (const name of PROXIES) this.#sendSnapshot(name)
         return
       case 'loseAnswers':
         this.#shells[action.proxy].loseAnswers(action.count)
@@ -147,17 +147,17 @@
     }
   }
 
-  #ask(proxy: ProxyName, session: string, workClass: string, asksTransaction: boolean): void {
+  #request(proxy: ProxyName, session: string, workClass: string, wantsTransaction: boolean): void {
     const targets = CLASSES.find(each => each.name === workClass)
     if (targets === undefined) throw new Error(`no class ${workClass}`)
     this.#requests += 1
     const id = `${workClass}-${this.#requests}`
-    // A session named for a proxy's life is bound to one connection there.
+    // A bound session belongs to one incarnation of one proxy, so its name includes both.
     const roams = !session.startsWith('bound')
-    const name = roams ? session : `${session}-${proxy}-${this.#lives}`
+    const name = roams ? session : `${session}-${proxy}-${this.#crashes}`
     const { access, idempotent, freshnessMilliseconds } = targets
-    const opensTransaction = asksTransaction && access === 'write' && !idempotent
-    this.callers.ask({
+    const opensTransaction = wantsTransaction && access === 'write' && !idempotent
+    this.callers.request({
       id,
       proxy,
       session: name,
@@ -166,7 +166,7 @@
       freshnessMilliseconds,
       opensTransaction,
     })
-    this.#newest.set(proxy, id)
+    this.#latestRequests.set(proxy, id)
     this.#shells[proxy].send({
       kind: 'requestArrived',
       request: requestId(id),
@@ -177,23 +177,23 @@
     })
   }
 
-  #leave(proxy: ProxyName): void {
-    const id = this.#newest.get(proxy)
+  #abandon(proxy: ProxyName): void {
+    const id = this.#latestRequests.get(proxy)
     if (id === undefined || this.callers.get(id).outcome !== 'none') return
     this.callers.abandon(id)
     this.#shells[proxy].send({ kind: 'requestAbandoned', request: requestId(id) })
   }
 
-  /** The process dies and another takes its place; its callers lose their connections. */
+  /** The process crashes and a new one replaces it; its callers lose their connections. */
   #crash(name: ProxyName): void {
     this.#shells[name].crash()
     this.#stopping.delete(name)
     for (const request of this.callers.requests.values()) {
       if (request.proxy === name) this.callers.abandon(request.id)
     }
-    this.#lives += 1
+    this.#crashes += 1
     this.#shells[name] = this.#newShell(name)
-    this.#tell(name)
+    this.#sendSnapshot(name)
   }
 
   #heal(): void {
@@ -203,23 +203,23 @@
       server.isAlive = true
       server.isLagging = false
     }
-    for (const name of PROXIES) this.#tell(name)
+    for (const name of PROXIES) this.#sendSnapshot(name)
   }
 
-  #spreadRecord(): void {
+  #propagateRecord(): void {
     for (const name of PROXIES) {
       if (!this.#group.canReach(COORDINATOR, name)) continue
-      // Later news may arrive first.
+      // Snapshots may arrive out of order.
       const snapshot = this.#snapshot(name)
       const shell = this.#shells[name]
-      this.#events.after(1 + this.#random.next() * 60, () => {
+      this.#events.schedule(1 + this.#random.next() * 60, () => {
         shell.send({ kind: 'snapshot', snapshot })
       })
     }
   }
 
-  #tell(name: ProxyName): void {
-    for (const each of SERVERS) this.#shells[name].listed(each, this.#leaving.has(each))
+  #sendSnapshot(name: ProxyName): void {
+    for (const each of SERVERS) this.#shells[name].noteListed(each, this.#leaving.has(each))
     this.#shells[name].send({ kind: 'snapshot', snapshot: this.#snapshot(name) })
   }
 
@@ -239,20 +239,23 @@
       },
       targetsConfirmed: true,
       groups: [
-        { record: this.#group.record, backendServers: SERVERS.map(each => this.#listed(each)) },
+        {
+          record: this.#group.record,
+          backendServers: SERVERS.map(each => this.#listedServer(each)),
+        },
       ],
       entryHostCount: PROXIES.length,
     }
   }
 
-  #listed(name: ServerName): ReturnType<typeof listedServer> {
+  #listedServer(name: ServerName): ReturnType<typeof listedServer> {
     return listedServer(name, { state: this.#leaving.has(name) ? 'leaving' : 'live' })
   }
 
   #newShell(name: ProxyName): FakeShell {
-    const [zone, region] = PLACES[name]
-    const place = { zone: availabilityZoneId(zone), region: regionId(region) }
-    const core = new ProxyCore(place, this.#random)
+    const [zone, region] = LOCATIONS[name]
+    const location = { zone: availabilityZoneId(zone), region: regionId(region) }
+    const core = new ProxyCore(location, this.#random)
     const parts = {
       events: this.#events,
       group: this.#group,
--- a/packages/state/__tests__/differential/fleetActions.ts
+++ b/packages/state/__tests__/differential/fleetActions.ts
@@ -1,11 +1,11 @@
-/** Random histories of a fleet. */
+/** Generates random histories of a fleet. */
 import fc from 'fast-check'
 import { CLASSES, SERVERS } from '../coreFixture.js'
 import { PROXIES, type FleetAction, type TimedAction } from './fleet.js'
 import { COORDINATOR } from './fakeGroup.js'
 
-const PARTIES = [...SERVERS, ...PROXIES, COORDINATOR]
-const LONGEST_HISTORY = 40
+const PARTICIPANTS = [...SERVERS, ...PROXIES, COORDINATOR]
+const MAX_ACTIONS = 40
 
 const proxy = fc.constantFrom(...PROXIES)
 const server = fc.constantFrom(...SERVERS)
@@ -14,14 +14,14 @@
   {
     weight: 16,
     arbitrary: fc.record({
-      kind: fc.constant('ask' as const),
+      kind: fc.constant('request' as const),
       proxy,
       session: fc.constantFrom('roaming-1', 'roaming-2', 'bound'),
       class: fc.constantFrom(...CLASSES.map(each => String(each.name))),
       transaction: fc.boolean(),
     }),
   },
-  { weight: 2, arbitrary: fc.record({ kind: fc.constant('leave' as const), proxy }) },
+  { weight: 2, arbitrary: fc.record({ kind: fc.constant('abandon' as const), proxy }) },
   { weight: 1, arbitrary: fc.record({ kind: fc.constant('crash' as const), proxy }) },
   {
     weight: 1,
@@ -43,7 +43,7 @@
     weight: 2,
     arbitrary: fc.record({
       kind: fc.constant('partition' as const),
-      cutOff: fc.subarray(PARTIES, { minLength: 1 }),
+      cutOff: fc.subarray(PARTICIPANTS, { minLength: 1 }),
     }),
   },
   { weight: 1, arbitrary: fc.constant<FleetAction>({ kind: 'heal' }) },
@@ -88,5 +88,5 @@
 
 export const fleetHistory: fc.Arbitrary<FleetHistory> = fc.record({
   seed: fc.integer({ min: 0, max: 1_000_000 }),
-  actions: fc.array(fc.record({ action, delay }), { minLength: 5, maxLength: LONGEST_HISTORY }),
+  actions: fc.array(fc.record({ action, delay }), { minLength: 5, maxLength: MAX_ACTIONS }),
 })
--- a/packages/state/__tests__/differential/mutations.ts
+++ b/packages/state/__tests__/differential/mutations.ts
@@ -1,4 +1,4 @@
-/** Ways to break one rule at a time, so that the tests are seen to notice. */
+/** Mutations that break one rule each, to show that the tests detect it. */
 import { logPosition, term, type LogPosition } from '@nutmegcourse/shared'
 import type { ClassTargets, PositionReport } from '@nutmegcourse/protocol'
 import type { FakeBackendServer } from './fakeBackendServer.js'
@@ -7,13 +7,13 @@
 export interface Mutation {
   /** The caller gets a write's answer without waiting for a majority. */
   readonly acknowledgesAtOnce?: boolean
-  /** Who answers a proxy's question to a server. */
-  readonly answersFor?: (
+  /** The server that answers a proxy's position request to `server`. */
+  readonly responder?: (
     proxy: string,
     server: FakeBackendServer,
     group: FakeGroup,
   ) => FakeBackendServer
-  /** What a proxy hears of a server's position. */
+  /** The position report that a proxy receives. */
   readonly report?: (report: PositionReport) => PositionReport
   readonly position?: (position: LogPosition) => LogPosition
   /** Sessions that roam are treated as bound to one connection. */
@@ -27,7 +27,7 @@
 
 export const MUTATIONS = {
   acknowledgeBeforeMajority: { acknowledgesAtOnce: true },
-  /** Offsets are compared whatever their terms, as if all logs were of one term. */
+  /** Offsets are compared regardless of their terms, as if all logs were of one term. */
   skipTermCheck: {
     report: report => ({
       ...report,
@@ -36,9 +36,9 @@
     }),
     position: position => logPosition(ANY_TERM, position.offset),
   },
-  /** One proxy takes the word of whoever believes to lead on its side for the majority's. */
+  /** One proxy accepts the answer of a server on its side that believes itself primary in place of a majority's. */
   primaryWordAsBound: {
-    answersFor: (proxy, server, group) => {
+    responder: (proxy, server, group) => {
       const believed = group.servers.find(
         each => each.isAlive && each.ledTerm !== null && group.canReach(proxy, each.name),
       )
@@ -46,11 +46,11 @@
     },
   },
   rememberRoamingSessions: { remembersRoamingSessions: true },
-  retryWhateverBroke: { classTargets: targets => ({ ...targets, idempotent: true }) },
-  lostAnswerAsRefusal: { takesLostAnswerForRefusal: true },
+  retryNonIdempotentWrites: { classTargets: targets => ({ ...targets, idempotent: true }) },
+  treatLostAnswerAsRefusal: { takesLostAnswerForRefusal: true },
 } as const satisfies Record<string, Mutation>
 
-/** Mutations that random histories meet too seldom; each has a story of its own. */
+/** Mutations that random histories exercise too rarely; each has a scenario of its own. */
 export const RARE_MUTATIONS = {
   /** A server that copies an old term's records for a later primary counts as holding that term. */
   ignoreLaterFences: {
--- a/packages/state/__tests__/differential/naiveDatabase.ts
+++ b/packages/state/__tests__/differential/naiveDatabase.ts
@@ -1,6 +1,6 @@
 /**
- * The obviously right version: one copy, no failures, a list of acknowledged writes. What callers
- * of the real fleet saw is compared with it.
+ * The naive reference model: one copy without failures, as a list of acknowledged writes. What callers
+ * of the simulated fleet saw is compared with it.
  */
 
 interface AcknowledgedWrite {
@@ -9,8 +9,8 @@
   readonly at: number
 }
 
-/** How much of the list a reader had a right to: what was acknowledged by then. */
-export type ListLength = number
+/** How many writes of the list were acknowledged by some time, and so must be visible to a read. */
+export type AcknowledgedCount = number
 
 export class NaiveDatabase {
   readonly #acknowledged: AcknowledgedWrite[] = []
@@ -19,7 +19,7 @@
     this.#acknowledged.push({ write, session, at })
   }
 
-  get length(): ListLength {
+  get length(): AcknowledgedCount {
     return this.#acknowledged.length
   }
 
@@ -27,15 +27,15 @@
     return this.#acknowledged.map(each => each.write)
   }
 
-  /** The session's own writes of the list's first part. */
-  ownWrites(session: string, length: ListLength): readonly string[] {
+  /** The session's own writes among the first `length` of the list. */
+  ownWrites(session: string, length: AcknowledgedCount): readonly string[] {
     return this.#acknowledged
       .slice(0, length)
       .filter(each => each.session === session)
       .map(each => each.write)
   }
 
-  allWrites(length: ListLength): readonly string[] {
+  allWrites(length: AcknowledgedCount): readonly string[] {
     return this.#acknowledged.slice(0, length).map(each => each.write)
   }
 
--- a/packages/state/__tests__/differential/naiveDifference.spec.ts
+++ b/packages/state/__tests__/differential/naiveDifference.spec.ts
@@ -6,10 +6,10 @@
 import { MUTATIONS, type Mutation } from './mutations.js'
 
 /**
- * Callers write and read through two proxies while servers die, lag, are cut off and replaced, and
- * answers get lost. A user would see a lost or doubled assignment, a refused upload that ran after
- * all, a session that does not see its own write, or another caller's answer. The cause of each
- * would be a decision of the core, since the shells and servers here have none.
+ * Callers write and read through two proxies while servers crash, lag, are partitioned and replaced, and
+ * answers get lost. Guards against lost or duplicated writes, writes that ran although they were refused, sessions
+ * that do not see their own writes, and answers that reach another caller. Each would be caused by a decision of the
+ * core, because the shells and servers here make none.
  */
 const SEED = 20260730
 const RUNS = Number(process.env.NUTMEGCOURSE_DIFFERENTIAL_RUNS ?? 150)
@@ -20,7 +20,7 @@
 }
 
 describe('two proxies against the naive database', () => {
-  it(`tells callers nothing that the naive database would not, in ${RUNS} histories`, () => {
+  it(`gives callers only answers that the naive database could give, in ${RUNS} histories`, () => {
     fc.assert(
       fc.property(fleetHistory, history => {
         expect(violationsOf(history)).toEqual([])
@@ -30,7 +30,7 @@
   })
 
   for (const [name, mutation] of Object.entries(MUTATIONS)) {
-    it(`notices the mutation ${name}`, () => {
+    it(`detects the mutation ${name}`, () => {
       const details = fc.check(
         fc.property(fleetHistory, history => violationsOf(history, mutation).length === 0),
         { seed: SEED, numRuns: MOST_RUNS_TO_COUNTEREXAMPLE, endOnFailure: true },
--- a/packages/state/__tests__/synchronous/customers.spec.ts
+++ b/packages/state/__tests__/synchronous/customers.spec.ts
@@ -19,17 +19,22 @@
 
 describe('CustomerDirectory', () => {
   const cases: readonly (readonly [string, readonly Customer[], string, string | null])[] = [
-    ['no customers', [], 'k1', null],
+    ['there are no customers', [], 'k1', null],
     ['a key of the only customer', [customer('a', 'k1')], 'k1', 'a'],
     ['a second key', [customer('a', 'k1', 'k2')], 'k2', 'a'],
-    ['a key of nobody', [customer('a', 'k1')], 'k9', null],
-    ['the empty word', [customer('a', 'k1')], '', null],
+    ['a key of no customer', [customer('a', 'k1')], 'k9', null],
+    ['an empty key', [customer('a', 'k1')], '', null],
     ['a customer without keys', [customer('a'), customer('b', 'k1')], 'k1', 'b'],
     ['one key of two customers', [customer('a', 'k1'), customer('b', 'k1')], 'k1', 'a'],
-    ['a customer removed and made anew', [customer('b', 'k2'), customer('a', 'k3')], 'k3', 'a'],
+    [
+      'a customer that was removed and created again',
+      [customer('b', 'k2'), customer('a', 'k3')],
+      'k3',
+      'a',
+    ],
   ]
   for (const [name, customers, key, holder] of cases) {
-    it(`finds the holder: ${name}`, () => {
+    it(`finds the customer of a key: ${name}`, () => {
       const found = new CustomerDirectory(customers).holderOf(digestOfKey(key))
       expect(found).toEqual(holder === null ? null : customerName(holder))
     })
@@ -69,13 +74,13 @@
 
 describe('IdleConnections', () => {
   it('gives a customer no connection but its own', () => {
-    const idle = connections(['of b', 'b', 1], ['of nobody', null, 2])
+    const idle = connections(['of b', 'b', 1], ['unassigned', null, 2])
     expect(idle.take(A, () => 0)).toEqual(null)
     expect(idle.has(A)).toEqual(false)
     expect(idle.size).toEqual(2)
   })
 
-  it('prefers the connection whose values fit, of equal ones the last used', () => {
+  it('prefers the connection with the smallest distance, then the most recently returned', () => {
     const idle = connections(['far', 'a', 1], ['first', 'a', 2], ['last', 'a', 3])
     const taken = idle.take(A, ({ name }) => (name === 'far' ? 2 : 1))
     expect(taken?.name).toEqual('last')
@@ -86,18 +91,18 @@
     readonly (readonly [string, string | null, number])[],
     string | null,
   ])[] = [
-    ['nothing is idle', [], null],
-    ['only its own are', [['own', 'a', 1]], null],
+    ['none if nothing is idle', [], null],
+    ['none if only its own are idle', [['own', 'a', 1]], null],
     [
-      'nobody’s goes first',
+      'first one that is assigned to no customer',
       [
         ['old', 'b', 1],
-        ['neutral', null, 9],
+        ['unassigned', null, 9],
       ],
-      'neutral',
+      'unassigned',
     ],
     [
-      'then the one unused for longest, wherever it stands',
+      'then the least recently used, whatever its position in the list',
       [
         ['busy', 'b', 9],
         ['old', 'c', 2],
@@ -107,14 +112,14 @@
     ],
   ]
   for (const [name, given, replaced] of replacements) {
-    it(`makes room: ${name}`, () => {
+    it(`chooses the connection to close: ${name}`, () => {
       expect(connections(...given).toReplaceFor(A)?.name ?? null).toEqual(replaced)
     })
   }
 
-  it('lends any connection to the host’s own questions, nobody’s first', () => {
-    const idle = connections(['neutral', null, 1], ['of b', 'b', 2])
-    expect(idle.takeAny()?.name).toEqual('neutral')
+  it('gives the host’s own queries any connection, first those assigned to no customer', () => {
+    const idle = connections(['unassigned', null, 1], ['of b', 'b', 2])
+    expect(idle.takeAny()?.name).toEqual('unassigned')
     expect(idle.takeAny()?.name).toEqual('of b')
     expect(idle.takeAny()).toEqual(null)
   })
@@ -123,7 +128,7 @@
 describe('holdersOfServer', () => {
   const cases: readonly (readonly [string, ServerHolders, number])[] = [
     [
-      'the primary is divided alike',
+      'the connections of the primary are divided evenly',
       { nearServer: 2, farFromServer: 4, isNear: false, isPrimary: true },
       6,
     ],
@@ -149,8 +154,8 @@
     })
   }
 
-  // Each host reckons by itself; a sum above the limit would have connections rejected by the server.
-  it('never hands out more than the limit in all', () => {
+  // Each host computes its own part; if the sum exceeded the limit, the server would reject connections.
+  it('gives all holders together no more than the limit', () => {
     for (const limit of [22, 41, 74, 108]) {
       for (const [near, far] of [
         [1, 2],
--- a/packages/state/__tests__/synchronous/directoryHistory.spec.ts
+++ b/packages/state/__tests__/synchronous/directoryHistory.spec.ts
@@ -39,8 +39,8 @@
   },
 })
 
-/** Listed at 10, then two answers of the store. */
-function historyOf(): DirectoryHistory {
+/** A full list at revision 10, then two answers of the store. */
+function listedHistory(): DirectoryHistory {
   const history = new DirectoryHistory()
   history.begin([record('b', 3), record('c', 4), serverAt(5)], 10, milliseconds(0))
   history.note([record('a', 11), record('b', 12)], 12, milliseconds(100))
@@ -50,55 +50,63 @@
 
 interface Case {
   readonly after: number
-  /** Revisions of what is told; null for nothing that could be relied on. */
-  readonly told: number[] | null
-  /** The earliest time at which one of them may have been made. */
-  readonly since: Milliseconds | null
+  /** Revisions of the returned changes; null if the history cannot answer. */
+  readonly revisions: number[] | null
+  /** The earliest time at which one of the changes may have been made. */
+  readonly madeSince: Milliseconds | null
 }
 
 const CASES: Readonly<Record<string, Case>> = {
-  'from the list on: of each subject the newest': {
+  'from the full list on: returns the newest change of each subject': {
     after: 10,
-    told: [12, 14, 15],
-    since: milliseconds(100),
+    revisions: [12, 14, 15],
+    madeSince: milliseconds(100),
   },
-  'from within an answer': { after: 11, told: [12, 14, 15], since: milliseconds(100) },
-  'between two answers': { after: 13, told: [14, 15], since: milliseconds(200) },
-  'at its own revision: nothing yet': { after: 16, told: [], since: null },
-  'past its own revision: nothing yet': { after: 20, told: [], since: null },
-  'before the list: everything that stands': {
+  'from a revision within an answer: returns the later changes': {
+    after: 11,
+    revisions: [12, 14, 15],
+    madeSince: milliseconds(100),
+  },
+  'from a revision between two answers: returns the changes of the second': {
+    after: 13,
+    revisions: [14, 15],
+    madeSince: milliseconds(200),
+  },
+  'from its own revision: returns no changes': { after: 16, revisions: [], madeSince: null },
+  'from a revision past its own: returns no changes': { after: 20, revisions: [], madeSince: null },
+  'from a revision before the full list: returns the whole content': {
     after: 9,
-    told: [4, 12, 14],
-    since: milliseconds(0),
+    revisions: [4, 12, 14],
+    madeSince: milliseconds(0),
   },
 }
 
-describe('the history of the directory', () => {
-  for (const [name, { after, told, since }] of Object.entries(CASES)) {
+describe('DirectoryHistory', () => {
+  for (const [name, { after, revisions, madeSince }] of Object.entries(CASES)) {
     it(name, () => {
-      const dated = historyOf().after(after)
+      const dated = listedHistory().after(after)
       expect(dated?.changes.map(({ revision }) => revision).sort((a, b) => a - b) ?? null).toEqual(
-        told,
+        revisions,
       )
-      expect(dated?.madeSince ?? null).toEqual(since)
+      expect(dated?.madeSince ?? null).toEqual(madeSince)
       expect(dated?.isWhole).toEqual(after < 10)
     })
   }
 
-  it('knows nothing before the first list', () => {
+  it('returns null before the first full list', () => {
     expect(new DirectoryHistory().after(0)).toEqual(null)
   })
 
-  // Guards against an older answer, as of a store that lags, that takes changes back.
-  it('passes over an answer that is older than what it knows', () => {
-    const history = historyOf()
+  // Guards against an older answer, as from a lagging store, that reverts changes.
+  it('ignores an answer that is older than its revision', () => {
+    const history = listedHistory()
     history.note([record('a', 11)], 12, milliseconds(300))
     expect(history.revision).toEqual(16)
     expect(history.after(13)?.changes.length).toEqual(2)
   })
 
-  // Guards against memory that grows with the age of the host, and against gaps where it is bounded.
-  it('forgets the oldest, and tells everything to whoever needs it', () => {
+  // Guards against memory that grows with the uptime of the host, and against gaps once changes are dropped.
+  it('drops the oldest changes, and returns the whole content to a host that needs them', () => {
     const history = new DirectoryHistory()
     history.begin([], 0, milliseconds(0))
     for (let revision = 1; revision <= 5000; revision += 1) {
--- a/packages/state/__tests__/synchronous/limitPart.spec.ts
+++ b/packages/state/__tests__/synchronous/limitPart.spec.ts
@@ -8,12 +8,12 @@
 const TOLERANCE: LimitTolerance = { windowMilliseconds: 5000, overage: 0.1, slack: 20 }
 const PARTS = 5
 
-/** What may be granted in any window. */
+/** The number of operations that may be granted in any window. */
 const allowed = ({ operationsPerSecond, burst }: OperationLimit): number =>
   (operationsPerSecond * (TOLERANCE.windowMilliseconds / 1000) + burst) * (1 + TOLERANCE.overage) +
   TOLERANCE.slack
 
-/** The most that were granted within one window, wherever it begins. */
+/** The highest number of operations granted within any window. */
 function mostInWindow(grants: readonly number[]): number {
   let most = 0
   let first = 0
@@ -25,11 +25,11 @@
 }
 
 type Step =
-  | { readonly kind: 'ask'; readonly part: number; readonly times: number }
+  | { readonly kind: 'request'; readonly part: number; readonly times: number }
   | { readonly kind: 'rest'; readonly span: number }
   | { readonly kind: 'restart'; readonly part: number }
 
-class World {
+class LimitSimulation {
   readonly grants: number[] = []
   readonly #limit: OperationLimit
   readonly #parts: LimitPart[]
@@ -41,10 +41,10 @@
     this.#parts = Array.from({ length: PARTS }, () => this.#part())
   }
 
-  take(step: Step): void {
+  apply(step: Step): void {
     switch (step.kind) {
-      case 'ask':
-        for (let asked = 0; asked < step.times; asked += 1) this.#ask(step.part)
+      case 'request':
+        for (let count = 0; count < step.times; count += 1) this.#request(step.part)
         return
       case 'rest':
         this.#now = milliseconds(this.#now + step.span)
@@ -54,15 +54,15 @@
     }
   }
 
-  #ask(part: number): void {
+  #request(part: number): void {
     if (this.#parts[part]?.take(this.#now) === 0) this.grants.push(this.#now)
   }
 
-  /** Each host restarts twice within a window at most. */
+  /** Each host restarts at most twice within a window. */
   #restart(part: number): void {
     const since = this.#now - TOLERANCE.windowMilliseconds
-    const lately = this.#restarted.filter(each => each.part === part && each.at > since)
-    if (lately.length >= 2) return
+    const recent = this.#restarted.filter(each => each.part === part && each.at > since)
+    if (recent.length >= 2) return
     this.#restarted.push({ part, at: this.#now })
     this.#parts[part] = this.#part()
   }
@@ -74,14 +74,18 @@
 
 const part = fc.integer({ min: 0, max: PARTS - 1 })
 const step: fc.Arbitrary<Step> = fc.oneof(
-  fc.record({ kind: fc.constant('ask' as const), part, times: fc.integer({ min: 1, max: 60 }) }),
+  fc.record({
+    kind: fc.constant('request' as const),
+    part,
+    times: fc.integer({ min: 1, max: 60 }),
+  }),
   fc.record({ kind: fc.constant('rest' as const), span: fc.integer({ min: 1, max: 900 }) }),
   fc.record({ kind: fc.constant('restart' as const), part }),
 )
 
 describe('LimitPart', () => {
-  // Hosts that hold the parts are asked in any order, rest and restart. Whoever can reach whom, a backend server must
-  // never see more of a customer's operations in a window than its limit and the tolerance allow.
+  // The hosts that hold the parts get requests in any order, are idle, and restart. However they are partitioned, a
+  // backend server must never see more of a customer's operations in a window than its limit and the tolerance allow.
   it('grants no more than the limit and its tolerance in any window', () => {
     const limits = fc.record({
       operationsPerSecond: fc.integer({ min: 1, max: 120 }),
@@ -89,17 +93,22 @@
     })
     fc.assert(
       fc.property(limits, fc.array(step, { maxLength: 200 }), (limit, steps) => {
-        const world = new World(limit)
-        for (const each of steps) world.take(each)
-        return mostInWindow(world.grants) <= allowed(limit)
+        const simulation = new LimitSimulation(limit)
+        for (const each of steps) simulation.apply(each)
+        return mostInWindow(simulation.grants) <= allowed(limit)
       }),
       { numRuns: 500, seed: 20 },
     )
   })
 
   const cases: readonly (readonly [string, OperationLimit, number, number])[] = [
-    ['a rested bucket grants its depth', { operationsPerSecond: 10, burst: 10 }, 60_000, 4],
-    ['a customer of one operation a second', { operationsPerSecond: 1, burst: 1 }, 60_000, 2],
+    ['grants its capacity after an idle time', { operationsPerSecond: 10, burst: 10 }, 60_000, 4],
+    [
+      'grants operations to a customer with a limit of one per second',
+      { operationsPerSecond: 1, burst: 1 },
+      60_000,
+      2,
+    ],
   ]
   for (const [name, limit, rested, granted] of cases) {
     it(name, () => {
@@ -110,7 +119,7 @@
     })
   }
 
-  it('says when the next operation may run, and grants it then', () => {
+  it('reports when the next operation may run, and grants it then', () => {
     const limit = { operationsPerSecond: 10, burst: 0 }
     const bucket = new LimitPart(limit, PARTS, TOLERANCE, milliseconds(0))
     while (bucket.take(milliseconds(0)) === 0);
@@ -119,7 +128,7 @@
     expect(bucket.take(milliseconds(Math.ceil(wait)))).toEqual(0)
   })
 
-  it('grants next to nothing more once the limit has fallen', () => {
+  it('grants next to nothing once the limit has been lowered', () => {
     const bucket = new LimitPart(
       { operationsPerSecond: 100, burst: 100 },
       PARTS,
@@ -133,7 +142,7 @@
     expect(count <= 3).toEqual(true)
   })
 
-  it('waits for whoever may still grant the same part', () => {
+  it('does not refill while another host may still grant the same part', () => {
     const limit = { operationsPerSecond: 100, burst: 0 }
     const bucket = new LimitPart(limit, PARTS, { ...TOLERANCE, slack: 0 }, milliseconds(6000))
     while (bucket.take(milliseconds(0)) === 0);
--- a/packages/state/__tests__/synchronous/placement.spec.ts
+++ b/packages/state/__tests__/synchronous/placement.spec.ts
@@ -26,33 +26,37 @@
 describe('rankForRead', () => {
   const cases: readonly (readonly [string, readonly ReadCandidate[], string])[] = [
     [
-      'the near one before the far one',
+      'ranks a near server before a far one',
       [candidate('far', { expectedMilliseconds: 70 }), candidate('near')],
       'near',
     ],
     [
-      'the far one when the near one is full',
+      'ranks a far server first if the near one is full',
       [candidate('far', { expectedMilliseconds: 70 }), candidate('near', { inFlight: 9 })],
       'far',
     ],
-    ['a replica before the primary', [candidate('p', { isPrimary: true }), candidate('r')], 'r'],
     [
-      'the primary before a slow replica',
+      'ranks a replica before the primary',
+      [candidate('p', { isPrimary: true }), candidate('r')],
+      'r',
+    ],
+    [
+      'ranks the primary before a slow replica',
       [candidate('p', { isPrimary: true }), candidate('r', { expectedMilliseconds: 150 })],
       'p',
     ],
     [
-      'the primary before a replica that is behind',
+      'ranks the primary before a replica that is behind',
       [candidate('p', { isPrimary: true }), candidate('r', { isBehind: true })],
       'p',
     ],
     [
-      'a server that stays before one that leaves',
+      'ranks a server that stays before one that is leaving',
       [candidate('leaving', { stays: false }), candidate('far', { expectedMilliseconds: 90 })],
       'far',
     ],
     [
-      'a silent server last',
+      'ranks a silent server last',
       [candidate('silent', { silentMilliseconds: 400 }), candidate('l', { stays: false })],
       'l',
     ],
@@ -67,9 +71,9 @@
 describe('poolLimits', () => {
   for (const limit of [23, 34, 100]) {
     for (const hosts of [1, 6, 9, 12, 30]) {
-      // All hosts lose power and start again. The server still counts their old connections for
-      // seconds; if those fill its limit, no host gets one until then and nobody is served.
-      it(`${limit} connections, ${hosts} hosts: what is kept leaves room for as many again`, () => {
+      // All hosts lose power and restart. The server still counts their old connections for some seconds; if those
+      // fill its limit, no host can connect until then and no caller is served.
+      it(`${limit} connections, ${hosts} hosts: the shares leave room for as many connections again`, () => {
         const { share, burst } = poolLimits(limit, hosts)
         expect(share >= 1 && burst >= share).toEqual(true)
         if (hosts <= limit * 0.45) expect(share * hosts * 2 <= limit).toEqual(true)
@@ -77,8 +81,8 @@
     }
   }
 
-  // Nine hosts that each borrowed up to 0.4 of a limit of 22 had 2,000 connections a day reset, and the near
-  // ones left a far zone one connection each, with half of its callers refused.
+  // Nine hosts that each borrowed up to 0.4 of a limit of 22 caused 2,000 connection resets a day. The hosts near the
+  // server left one connection each to the hosts of a distant zone, where half of the callers were refused.
   const fleets: readonly (readonly [number, number, number])[] = [
     [22, 9, 3],
     [23, 9, 3],
@@ -88,13 +92,13 @@
     [274, 91, 41],
   ]
   for (const [limit, hosts, holders] of fleets) {
-    it(`${limit} connections, ${hosts} hosts: ${holders} hold them, together no more than there are`, () => {
+    it(`${limit} connections, ${hosts} hosts: ${holders} hold connections, together no more than the limit`, () => {
       expect(connectionHolders(limit, hosts)).toEqual(holders)
       expect(poolLimits(limit, holders).burst * holders <= limit).toEqual(true)
     })
   }
 
-  it('opens for those who wait, up to the burst, and for warmth up to the share', () => {
+  it('opens connections for waiters up to the burst, and to stay warm up to the share', () => {
     const limits = { share: 2, burst: 5 }
     const state = { size: 2, opening: 0, idle: 0, waiting: 9 }
     expect(connectionsToOpen(state, limits, 1)).toEqual(3)
@@ -104,33 +108,33 @@
   })
 })
 
-describe('WaitingLine', () => {
-  it('serves by priority, then by who has the least time left, then in order', () => {
-    const line = new WaitingLine<{
+describe('WaitQueue', () => {
+  it('serves by priority, then by deadline, then by order of arrival', () => {
+    const queue = new WaitingLine<{
       name: string
       priority: number
       deadline: ReturnType<typeof milliseconds>
     }>()
-    const join = (name: string, priority: number, deadline: number) => {
+    const enqueue = (name: string, priority: number, deadline: number) => {
       const waiter = { name, priority, deadline: milliseconds(deadline) }
-      line.join(waiter)
+      queue.join(waiter)
       return waiter
     }
-    join('late', 1, 900)
-    join('soon', 1, 100)
-    const gone = join('gone', 0, 50)
-    join('urgent', 0, 800)
-    join('soon too', 1, 100)
-    line.leave(gone)
-    expect(line.takeAll().map(({ name }) => name)).toEqual(['urgent', 'soon', 'soon too', 'late'])
-    expect(line.size).toEqual(0)
+    enqueue('late', 1, 900)
+    enqueue('soon', 1, 100)
+    const gone = enqueue('gone', 0, 50)
+    enqueue('urgent', 0, 800)
+    enqueue('soon too', 1, 100)
+    queue.leave(gone)
+    expect(queue.takeAll().map(({ name }) => name)).toEqual(['urgent', 'soon', 'soon too', 'late'])
+    expect(queue.size).toEqual(0)
   })
 })
 
 describe('LatencyEstimate', () => {
-  // One server turns slow. It must lose its work within a few answers, and get some again later:
-  // without a try nobody would learn that it is well.
-  it('rises fast, falls by and by, and forgets', () => {
+  // A server becomes slow. It must lose its work within a few answers, and get some again later: without new requests
+  // its recovery would go unnoticed.
+  it('rises fast, falls gradually, and decays to its floor', () => {
     const estimate = new LatencyEstimate(10)
     for (let answers = 0; answers < 4; answers += 1) estimate.record(150, milliseconds(answers))
     const slow = estimate.at(milliseconds(4))
--- a/packages/state/__tests__/synchronous/serverDirectory.spec.ts
+++ b/packages/state/__tests__/synchronous/serverDirectory.spec.ts
@@ -34,19 +34,23 @@
 const at = milliseconds
 
 describe('ServerDirectory', () => {
-  const news: readonly (readonly [
+  const changes: readonly (readonly [
     string,
     Partial<BackendServerEntry>,
     DirectoryNews['kind'] | null,
   ])[] = [
-    ['the same entry', {}, null],
-    ['a new role', { role: 'primary' }, 'changed'],
-    ['it leaves', { isLeaving: true }, 'changed'],
-    ['another life under the id', { startedAtUnixMilliseconds: 2 }, 'appeared'],
-    ['another address', { port: 2 }, 'appeared'],
-    ['another service', { service: 't' }, 'appeared'],
+    ['reports no change for the same entry', {}, null],
+    ['reports a new role as a change', { role: 'primary' }, 'changed'],
+    ['reports as a change that it is leaving', { isLeaving: true }, 'changed'],
+    [
+      'reports a restart under the same id as a new server',
+      { startedAtUnixMilliseconds: 2 },
+      'appeared',
+    ],
+    ['reports another address as a new server', { port: 2 }, 'appeared'],
+    ['reports another service as a new server', { service: 't' }, 'appeared'],
   ]
-  for (const [name, given, kind] of news) {
+  for (const [name, given, kind] of changes) {
     it(name, () => {
       const directory = new ServerDirectory(DRAIN)
       directory.list(entry(), at(0))
@@ -54,9 +58,9 @@
     })
   }
 
-  // A server says that it leaves; its time is over some seconds later, and requests that reach it
-  // afterwards are cut off. The first word counts, however often the entry changes then.
-  it('gives a leaving server no work in its last seconds', () => {
+  // A server announces that it is leaving; its drain time ends some seconds later, and requests that reach it
+  // afterwards are cut off. The first announcement counts, however often the entry changes afterwards.
+  it('gives a leaving server no new work in the last part of its drain time', () => {
     const directory = new ServerDirectory(DRAIN)
     directory.list(entry(), at(0))
     directory.list(entry({ isLeaving: true }), at(1000))
@@ -65,9 +69,9 @@
     expect(directory.mayTakeWork(A, at(4900))).toEqual(false)
   })
 
-  // The store was away and let entries lapse; their servers live. Callers must not lose half of the
-  // servers for the two seconds until the entries are back, and a server that is gone must be left.
-  it('keeps a server whose entry lapsed until it is clear that it is gone', () => {
+  // The store was unavailable and entries of live servers expired. Callers must not lose half of the
+  // servers for the two seconds until the entries are back, and a server that is gone must be removed.
+  it('keeps a server whose entry expired for a grace period', () => {
     const directory = new ServerDirectory(DRAIN)
     directory.list(entry(), at(0))
     expect(directory.keepOnly(new Set([B]), at(1000)).map(({ kind }) => kind)).toEqual(['unlisted'])
@@ -82,9 +86,9 @@
 })
 
 describe('Leadership', () => {
-  // The old primary's answer was long on its way and arrives after the news of the new one. Writes
+  // A delayed answer of the old primary arrives after the evidence for the new one. Writes
   // must not go back to the old one.
-  it('goes by when a question was asked, not when its answer came', () => {
+  it('orders evidence by when the request was sent, not by when the answer arrived', () => {
     const leadership = new Leadership()
     leadership.leads(A, at(100))
     leadership.leads(B, at(300))
@@ -92,7 +96,7 @@
     expect(leadership.primary).toEqual(B)
   })
 
-  it('drops a server that refuses, until something newer says that it leads', () => {
+  it('drops a server that refuses, until newer evidence shows that it leads', () => {
     const leadership = new Leadership()
     leadership.leads(A, at(100))
     leadership.refused(A, at(150))
@@ -108,7 +112,7 @@
   const bounded = { kind: 'bounded', maximumAgeMilliseconds: 1000 } as const
   const own = { kind: 'ownWrites', maximumAgeMilliseconds: 1000 } as const
 
-  it('knows nothing before the primary has answered, and nothing from an answer too old', () => {
+  it('has no bound before the primary has answered, nor from an answer that is too old', () => {
     const bounds = new FreshnessBounds()
     expect(bounds.need(bounded, null, at(0)).kind).toEqual('unknown')
     bounds.note(at(0), logPosition(1, 5))
@@ -116,7 +120,7 @@
     expect(bounds.need(bounded, null, at(1001)).kind).toEqual('unknown')
   })
 
-  it('asks no more of a replica than the oldest bound that is young enough', () => {
+  it('requires no more of a replica than the oldest bound that is recent enough', () => {
     const bounds = new FreshnessBounds()
     bounds.note(at(0), logPosition(1, 5))
     bounds.note(at(500), logPosition(1, 9))
@@ -127,7 +131,7 @@
     })
   })
 
-  it('adds what the session wrote itself', () => {
+  it('adds the session’s own writes', () => {
     const bounds = new FreshnessBounds()
     bounds.note(at(0), logPosition(1, 5))
     const need = bounds.need(own, logPosition(1, 30), at(10))
@@ -135,9 +139,9 @@
     expect(bounds.need({ kind: 'latest' }, null, at(10))).toEqual({ kind: 'primary' })
   })
 
-  // The old primary's log ended past what the new one took over: nothing there was acknowledged. A
+  // The old primary's log extended past what the new one took over; nothing there was acknowledged. A
   // read that waited for that position would wait until the new primary has written as much.
-  it('falls back with the log after a change of primary', () => {
+  it('goes back with the log after a change of primary', () => {
     const bounds = new FreshnessBounds()
     bounds.note(at(0), logPosition(1, 50))
     bounds.note(at(800), logPosition(1, 48))
--- a/packages/state/__tests__/synchronous/sessionValues.spec.ts
+++ b/packages/state/__tests__/synchronous/sessionValues.spec.ts
@@ -17,30 +17,52 @@
 }
 
 /**
- * Story: a caller finds another caller's setting in force, or its own forgotten, since both used one
+ * Guards against a caller that finds another caller's setting in force, or its own lost, because both used one
  * connection one after the other.
  */
 const CASES: readonly Case[] = [
-  { name: 'the same session again', before: { a: '1' }, then: { a: '1' }, sent: [], distance: 0 },
   {
-    name: 'one more value',
+    name: 'sends nothing for the same session again',
+    before: { a: '1' },
+    then: { a: '1' },
+    sent: [],
+    distance: 0,
+  },
+  {
+    name: 'sets one more value',
     before: { a: '1' },
     then: { a: '1', b: '2' },
     sent: ['set b 2'],
     distance: 1,
   },
-  { name: 'another value', before: { a: '1' }, then: { a: '2' }, sent: ['set a 2'], distance: 1 },
   {
-    name: 'a value that the next session does not have',
+    name: 'sets a changed value',
+    before: { a: '1' },
+    then: { a: '2' },
+    sent: ['set a 2'],
+    distance: 1,
+  },
+  {
+    name: 'resets if the next session lacks a value',
     before: { a: '1', b: '2' },
     then: { a: '1' },
     sent: ['reset', 'set a 1'],
     distance: 1,
   },
-  { name: 'none after some', before: { a: '1' }, then: {}, sent: ['reset'], distance: 1 },
+  {
+    name: 'resets if the next session has no values',
+    before: { a: '1' },
+    then: {},
+    sent: ['reset'],
+    distance: 1,
+  },
 ]
 
-const write = (values: ConnectionValues, of: SessionValues, isInTransaction = false): string[] =>
+const commandsOf = (
+  values: ConnectionValues,
+  of: SessionValues,
+  isInTransaction = false,
+): string[] =>
   values
     .adopt(of, isInTransaction)
     .map(command =>
@@ -53,20 +75,20 @@
       const values = new ConnectionValues()
       values.adopt(session(before), false)
       expect(values.distance(session(then))).toEqual(distance)
-      expect(write(values, session(then))).toEqual([...sent])
-      expect(write(values, session(then))).toEqual([])
+      expect(commandsOf(values, session(then))).toEqual([...sent])
+      expect(commandsOf(values, session(then))).toEqual([])
     })
   }
 
   // A caller sets a value inside a transaction and rolls back; the server may have undone it. The
   // next user of the connection must not rely on either.
-  it('starts from nothing after values were set inside a transaction', () => {
+  it('resets after values were set inside a transaction', () => {
     const values = new ConnectionValues()
-    expect(write(values, session({ a: '1' }), true)).toEqual(['set a 1'])
-    expect(write(values, session({ a: '1' }))).toEqual(['reset', 'set a 1'])
+    expect(commandsOf(values, session({ a: '1' }), true)).toEqual(['set a 1'])
+    expect(commandsOf(values, session({ a: '1' }))).toEqual(['reset', 'set a 1'])
   })
 
-  it('shares prepared statements of one shape and keeps those of others apart', () => {
+  it('shares prepared statements of the same effect and shape, and no others', () => {
     const values = new ConnectionValues()
     const read = values.prepare({ effect: 'read', shape: 'q' })
     const write = values.prepare({ effect: 'write', shape: 'q' })
@@ -78,7 +100,7 @@
     })
   })
 
-  it('prepares anew after a reset', () => {
+  it('prepares statements again after a reset', () => {
     const values = new ConnectionValues()
     values.adopt(session({ a: '1' }), false)
     values.prepare({ effect: 'read', shape: 'q' })
--- a/packages/state/__tests__/synchronous/statementFate.spec.ts
+++ b/packages/state/__tests__/synchronous/statementFate.spec.ts
@@ -10,7 +10,7 @@
   'commit',
 ]
 
-const MISHAPS: readonly Mishap[] = [
+const FAILURES: readonly Mishap[] = [
   { kind: 'notSent' },
   { kind: 'overloaded', waitMilliseconds: 500 },
   { kind: 'unconfirmed' },
@@ -27,22 +27,22 @@
   { kind: 'overdue' },
 ]
 
-/** How a cell is written: `r:x` retry and else x, `h:x` retry on the same connection, else the answer. */
-function write(fate: Fate): string {
-  switch (fate.kind) {
+/** Formats a cell: `r:x` retry, else answer x; `h:x` retry on the same connection, else x; `x` answer x. */
+function format(recovery: Fate): string {
+  switch (recovery.kind) {
     case 'retry':
-      return `r:${fate.otherwise}`
+      return `r:${recovery.otherwise}`
     case 'retryHere':
-      return `h:${fate.otherwise}`
+      return `h:${recovery.otherwise}`
     case 'answer':
-      return fate.refusal
+      return recovery.refusal
   }
 }
 
 /**
- * Story: a caller is told that its write was not run, tries again, and finds it twice; or it is told
- * that the outcome is unknown of something that surely left nothing. The whole table is written out,
- * one row a mishap and one column a place, for a transaction that still stands.
+ * Guards against a caller that is answered that its write was not run, retries, and finds it applied twice; or that
+ * is answered that the outcome is unknown when nothing can have been kept. The whole table is written out,
+ * one row per failure and one column per place, for a transaction that is still open.
  */
 const TABLE: Readonly<Record<string, readonly string[]>> = {
   notSent: ['r:notRun', 'r:notRun', 'r:notRun', 'aborted', 'aborted'],
@@ -61,29 +61,29 @@
   overdue: ['timeout', 'outcomeUnknown', 'aborted', 'aborted', 'outcomeUnknown'],
 }
 
-const nameOf = (mishap: Mishap): string =>
-  mishap.kind === 'refused' ? mishap.refusal : mishap.kind
+const nameOf = (failure: Mishap): string =>
+  failure.kind === 'refused' ? failure.refusal : failure.kind
 
-describe('fateOf', () => {
-  for (const mishap of MISHAPS) {
-    it(`after ${nameOf(mishap)}`, () => {
-      const row = PLACES.map(place => write(fateOf(place, mishap, true)))
-      expect(row).toEqual([...(TABLE[nameOf(mishap)] ?? [])])
+describe('recoveryFor', () => {
+  for (const failure of FAILURES) {
+    it(`handles ${nameOf(failure)} in each place`, () => {
+      const row = PLACES.map(place => format(fateOf(place, failure, true)))
+      expect(row).toEqual([...(TABLE[nameOf(failure)] ?? [])])
     })
   }
 
-  it('does not try again in a transaction that a full server ended', () => {
+  it('does not retry in a transaction that a busy server ended', () => {
     const busy: Mishap = { kind: 'refused', refusal: 'busy' }
-    expect(write(fateOf('withinTransaction', busy, false))).toEqual('aborted')
-    expect(write(fateOf('commit', busy, false))).toEqual('aborted')
+    expect(format(fateOf('withinTransaction', busy, false))).toEqual('aborted')
+    expect(format(fateOf('commit', busy, false))).toEqual('aborted')
   })
 
-  it('never promises that nothing is kept once a write or commit was sent and not answered', () => {
-    const promises = ['notRun', 'aborted', 'tooManyCallers', 'readOnly']
+  it('never answers that nothing was kept once a write or commit was sent and not answered', () => {
+    const nothingKept = ['notRun', 'aborted', 'tooManyCallers', 'readOnly']
     for (const place of ['singleWrite', 'commit'] as const) {
-      for (const mishap of MISHAPS.filter(({ kind }) => kind === 'lost' || kind === 'overdue')) {
-        const fate = fateOf(place, mishap, true)
-        expect(fate.kind === 'answer' && !promises.includes(fate.refusal)).toEqual(true)
+      for (const failure of FAILURES.filter(({ kind }) => kind === 'lost' || kind === 'overdue')) {
+        const recovery = fateOf(place, failure, true)
+        expect(recovery.kind === 'answer' && !nothingKept.includes(recovery.refusal)).toEqual(true)
       }
     }
   })
--- a/packages/state/__tests__/synchronous/writeConfirmation.spec.ts
+++ b/packages/state/__tests__/synchronous/writeConfirmation.spec.ts
@@ -5,11 +5,11 @@
 
 const at = (time: number): Milliseconds => milliseconds(time)
 
-/** What a statement takes at the server, in milliseconds. */
-const USUAL = 40
+/** The usual duration of a statement at the server. */
+const USUAL_MILLISECONDS = 40
 
 describe('WriteConfirmation', () => {
-  /** When writes were sent and when confirmed, the time of the question, and whether a write may go. */
+  /** When writes were sent and when confirmed, the time of the check, and whether a write may be sent. */
   const cases: readonly (readonly [
     string,
     readonly (readonly [number, number | null])[],
@@ -17,10 +17,10 @@
     boolean,
   ])[] = [
     ['nothing was written', [], 1000, true],
-    ['a write has waited as long as some do', [[0, null]], 200, true],
-    ['a write has waited for too long', [[0, null]], 301, false],
+    ['a write has waited no longer than is usual under load', [[0, null]], 200, true],
+    ['a write has waited too long', [[0, null]], 301, false],
     [
-      'a later one was confirmed meanwhile',
+      'a later write was confirmed meanwhile',
       [
         [0, null],
         [50, 150],
@@ -29,7 +29,7 @@
       true,
     ],
     [
-      'only an earlier one was confirmed',
+      'only an earlier write was confirmed',
       [
         [0, 20],
         [50, null],
@@ -37,35 +37,35 @@
       400,
       false,
     ],
-    ['all that were sent are over', [[0, 350]], 1000, true],
+    ['all writes have ended', [[0, 350]], 1000, true],
   ]
-  for (const [name, writes, now, may] of cases) {
-    it(`${may ? 'lets a write go' : 'holds writes back'} when ${name}`, () => {
+  for (const [name, writes, now, isAllowed] of cases) {
+    it(`${isAllowed ? 'allows a write' : 'holds writes back'} when ${name}`, () => {
       const confirmation = new WriteConfirmation()
       for (const [sentAt, confirmedAt] of writes) {
         const write = confirmation.sent(at(sentAt))
         if (confirmedAt !== null) confirmation.ended(write, 'confirmed', at(confirmedAt))
       }
-      expect(confirmation.mayWrite(USUAL, at(now))).toEqual(may)
+      expect(confirmation.mayWrite(USUAL_MILLISECONDS, at(now))).toEqual(isAllowed)
     })
   }
 
-  it('bears with a server that is slow to everybody', () => {
+  it('allows writes to a server whose statements are all slow', () => {
     const confirmation = new WriteConfirmation()
     confirmation.sent(at(0))
     expect(confirmation.mayWrite(200, at(500))).toEqual(true)
   })
 
-  // Load: a primary loses its replicas at 0 ms and gets 20 writes a second with a second of time
-  // each. Without this each of them held a connection for a second and was told that its outcome is
+  // Load: a primary loses its replicas at 0 ms and gets 20 writes a second with a timeout of a second
+  // each. Without this rule each of them held a connection for a second and was answered that its outcome is
   // unknown.
-  it('lets a few writes find out, and the others go elsewhere', () => {
+  it('sends only a few writes to probe a primary that does not confirm them', () => {
     const confirmation = new WriteConfirmation()
     const ends: { readonly at: number; readonly end: () => void }[] = []
     let unknown = 0
     for (let now = 0; now < 5000; now += 50) {
       while (ends[0] !== undefined && ends[0].at <= now) ends.shift()?.end()
-      if (!confirmation.mayWrite(USUAL, at(now))) continue
+      if (!confirmation.mayWrite(USUAL_MILLISECONDS, at(now))) continue
       unknown += 1
       const write = confirmation.sent(at(now))
       const end = (): void => {
@@ -76,14 +76,14 @@
     expect(unknown <= 7 + 5).toEqual(true)
   })
 
-  // Both replicas of a primary are gone. It says of each write at once that it was not confirmed, so none
-  // ever waits long, and callers of one host heard 92 times a second that the outcome is unknown (of 352
-  // such answers of one run all were a server's word, none a wait). A few a second find out.
-  it('holds writes back when the server itself says that they are not confirmed', () => {
+  // Both replicas of a primary are gone. It reports at once that a write was not confirmed, so no write waits long,
+  // and callers of one host were answered 92 times a second that the outcome is unknown (all 352 such answers of one
+  // run came from a server, none from a timeout). Only a few writes a second may probe it.
+  it('holds writes back if the server reports that they are not confirmed', () => {
     const confirmation = new WriteConfirmation()
     const unknown: number[] = []
     for (let now = 0; now < 3000; now += 10) {
-      if (!confirmation.mayWrite(USUAL, at(now))) continue
+      if (!confirmation.mayWrite(USUAL_MILLISECONDS, at(now))) continue
       unknown.push(now)
       confirmation.ended(confirmation.sent(at(now)), 'unconfirmed', at(now + 5))
     }
@@ -91,17 +91,17 @@
     expect(unknown.length).toEqual(2 + 11)
   })
 
-  it('goes on after one write that ran out of time by itself, and after the next that is confirmed', () => {
+  it('allows writes after a single unconfirmed one, and again after a confirmed one', () => {
     const confirmation = new WriteConfirmation()
     const write = (sentAt: number, end: WriteEnd): void => {
       confirmation.ended(confirmation.sent(at(sentAt)), end, at(sentAt + 5))
     }
     write(0, 'unconfirmed')
-    expect(confirmation.mayWrite(USUAL, at(10))).toEqual(true)
+    expect(confirmation.mayWrite(USUAL_MILLISECONDS, at(10))).toEqual(true)
     write(10, 'unconfirmed')
-    expect(confirmation.mayWrite(USUAL, at(20))).toEqual(false)
-    expect(confirmation.mayWrite(USUAL, at(260))).toEqual(true)
+    expect(confirmation.mayWrite(USUAL_MILLISECONDS, at(20))).toEqual(false)
+    expect(confirmation.mayWrite(USUAL_MILLISECONDS, at(260))).toEqual(true)
     write(260, 'confirmed')
-    expect(confirmation.mayWrite(USUAL, at(270))).toEqual(true)
+    expect(confirmation.mayWrite(USUAL_MILLISECONDS, at(270))).toEqual(true)
   })
 })
--- a/packages/state/src/synchronous/poolPolicy.ts
+++ b/packages/state/src/synchronous/poolPolicy.ts
@@ -34,7 +34,7 @@
 /**
  * The fraction of the limit that all hosts together may hold while work waits. Without this bound, nine hosts that
  * each borrowed up to 0.4 of one limit caused 2,000 connection resets a day; hosts near the server took the
- * connections that became free and left one each to the hosts of a distant zone. The rest is for control connections
+ * connections that became free and left one each to the hosts of a distant zone. The rest is for control statements
  * to the server, and for hosts that do not know of each other yet.
  */
 const COMBINED_BURST_FRACTION = 0.9
@@ -93,7 +93,7 @@
 
 /**
  * The permanently kept fraction if each connection runs one customer's statements only. It is higher because
- * each connection that is closed is missing to its customer.
+ * closing a connection takes it away from its customer.
  */
 const KEPT_FRACTION_BY_CUSTOMER = 0.55
 
--- a/packages/state/src/synchronous/replicaProgress.ts
+++ b/packages/state/src/synchronous/replicaProgress.ts
@@ -35,7 +35,7 @@
     this.#retryDelay = Math.min(this.#retryDelay * 2, MAX_RETRY_DELAY_MILLISECONDS)
   }
 
-  /** A read that needs the position is sent there; further ones are held back until it is answered or a delay is over. */
+  /** A read that needs the position is sent there; until it is answered, others do not follow for the retry delay. */
   noteAsked(needed: LogPosition, now: Milliseconds): void {
     if (this.#missing === null || this.#holds(needed, this.#missing)) return
     this.#retryAt = milliseconds(now + this.#retryDelay)
--- a/packages/state/src/synchronous/sessionValues.ts
+++ b/packages/state/src/synchronous/sessionValues.ts
@@ -27,7 +27,7 @@
   #isUncertain = false
 
   /** Values may have been rolled back with a transaction, so the connection is reset before its next use. */
-  distrust(): void {
+  invalidate(): void {
     this.#isUncertain = true
   }
 
--- a/packages/state/src/synchronous/writeConfirmation.ts
+++ b/packages/state/src/synchronous/writeConfirmation.ts
@@ -7,14 +7,14 @@
 
 /**
  * A write that takes longer than this, and longer than a few usual statements, is more than slow: a loaded primary
- * answers within 200 ms, and the longer the timeout, the more callers are left with an unknown outcome.
+ * answers within 200 ms, and each further millisecond leaves one more caller with an unknown outcome.
  */
 const MIN_CONFIRMATION_TIMEOUT_MILLISECONDS = 300
 const CONFIRMATION_TIMEOUT_FACTOR = 3
 
 /**
- * Between two writes that probe the primary. A server that reports at once that a write was not confirmed
- * answered a hundred of them a second, each leaving one more caller with an unknown outcome.
+ * Between two writes that probe the primary. Without this interval, a server that reports at once that a write was not
+ * confirmed answered a hundred of them a second, each leaving one more caller with an unknown outcome.
  */
 const PROBE_INTERVAL_MILLISECONDS = 250
 
