--- a/packages/host/src/unserved.ts
+++ b/packages/host/src/accessRefusals.ts
@@ -1,5 +1,6 @@
 /**
- * What a caller is told whose statement found no server, and what was tried before is not forgotten over it.
+ * Refusals of statements for which no connection was available. An earlier attempt that may have run decides the
+ * refusal, so that a caller is never wrongly told that nothing ran.
  *
  * @internal
  */
@@ -8,26 +9,26 @@
 import type { Access } from './serverAccess.js'
 import { refused, type StatementRequest, type StatementResult } from './statements.js'
 
-/** The primary's writes wait for replicas that it does not reach. */
+/** The primary does not get its writes confirmed by replicas, so no write is sent to it. */
 export const UNCONFIRMED = { kind: 'unconfirmed' } as const
 
-/** Why there is no connection, or none is asked for. */
+/** Why no connection is available, or why none was requested. */
 export type NoAccess = Exclude<Access, { kind: 'connected' }> | typeof UNCONFIRMED
 
-/** What is left to say after the last try. */
+/** The refusal that the last failed attempt leads to when it is not repeated. */
 function lastRefusal(place: StatementPlace, last: Mishap): CallerRefusal {
   const fate = fateOf(place, last, false)
   return fate.kind === 'answer' ? fate.refusal : fate.otherwise
 }
 
-/** The final answer once the time of a statement is over. */
+/** The result of a statement whose deadline has passed. */
 export const refusalAfter = (
   request: StatementRequest,
   place: StatementPlace,
   last: Mishap,
 ): StatementResult => refused(request, lastRefusal(place, last), last)
 
-/** What the caller is told when no server gave a connection; null when the request may go on looking. */
+/** The result of a statement that got no connection; null if it may look for another server. */
 export function withoutAccess(
   request: StatementRequest,
   place: StatementPlace,
@@ -41,7 +42,7 @@
       return refusalAfter(request, place, last)
     case 'overloaded':
     case 'unconfirmed':
-      // An earlier try may have run; then "not run" would not be true.
+      // If an earlier attempt may have run, "notRun" would be wrong.
       if (lastRefusal(place, last) !== 'notRun') return refusalAfter(request, place, last)
       return refused(request, 'notRun', access)
   }
--- a/packages/host/src/attempt.ts
+++ b/packages/host/src/attempt.ts
@@ -1,5 +1,5 @@
 /**
- * One try of one statement on one connection.
+ * One attempt to run one statement on one connection.
  *
  * @internal
  */
@@ -35,9 +35,9 @@
   | {
       readonly kind: 'mishap'
       readonly mishap: Mishap
-      /** What the connection is worth afterwards; null when it can not be used again. */
+      /** The connection's session status afterwards; null when it must not be used again. */
       readonly status: SessionStatus | null
-      /** Where the server's log ends, if it said so with a refusal. */
+      /** The end of the server's log, if a refusal reported it. */
       readonly position: LogPosition | null
     }
 
@@ -47,21 +47,21 @@
   readonly after: LogPosition | null
   readonly isInTransaction: boolean
   /**
-   * Asks behind the statement whether the server still leads. A server that was replaced and does
-   * not know it serves a read from its old log; that it refuses to begin a writing transaction right
-   * after shows it, and the read is not used.
+   * Checks after the statement that the server is still the primary. A replaced primary that has not been informed
+   * serves reads from its old log; it refuses to begin a writing transaction right afterwards, and the read is
+   * discarded.
    */
-  readonly confirmsLead: boolean
+  readonly verifiesPrimary: boolean
   readonly deadline: Milliseconds
 }
 
 const mishap = (
-  what: Mishap,
+  cause: Mishap,
   status: SessionStatus | null,
   position: LogPosition | null = null,
-): AttemptOutcome => ({ kind: 'mishap', mishap: what, status, position })
+): AttemptOutcome => ({ kind: 'mishap', mishap: cause, status, position })
 
-/** Runs the statement with the session's values in force. All of it leaves in one packet. */
+/** Runs the statement after the commands that set the session's values. All commands are sent in one packet. */
 export async function attempt(
   context: HostContext,
   pooled: PooledLink,
@@ -78,24 +78,24 @@
   const own = [...values.adopt(plan.session, plan.isInTransaction), ...prepared.own]
   const ahead = own.map(command => link.run(command))
   const main = link.run(prepared.command)
-  const behind = plan.confirmsLead
+  const behind = plan.verifiesPrimary
     ? [link.run({ kind: 'begin', readOnly: false, after: null }), link.run({ kind: 'rollback' })]
     : []
   const all = Promise.all([Promise.all(ahead), main, Promise.all(behind)])
   const replies = await within(all, plan.deadline, context.clock)
   if (replies === OVERDUE) return mishap({ kind: 'overdue' }, null)
-  const [settings, reply, lead] = replies
-  if (!settings.every(isOwnDone)) {
+  const [settings, reply, check] = replies
+  if (!settings.every(isHostCommandDone)) {
     const failure = reply.isErr() ? reply.error.kind : 'malformedAnswer'
     return mishap({ kind: 'lost', failure }, null)
   }
   const outcome = readReply(reply)
-  if (outcome.kind === 'mishap' || !plan.confirmsLead) return outcome
-  return checkLead(outcome, lead)
+  if (outcome.kind === 'mishap' || !plan.verifiesPrimary) return outcome
+  return checkStillPrimary(outcome, check)
 }
 
-/** The commands that give a connection its session's values, before a transaction begins there. */
-export async function adoptValues(
+/** Sets the session's values on a connection before a transaction begins there. Whether it succeeded. */
+export async function applySessionValues(
   context: HostContext,
   pooled: PooledLink,
   session: SessionValues,
@@ -103,7 +103,7 @@
 ): Promise<boolean> {
   const replies = pooled.values.adopt(session, false).map(command => pooled.link.run(command))
   const settled = await within(Promise.all(replies), deadline, context.clock)
-  return settled !== OVERDUE && settled.every(isOwnDone)
+  return settled !== OVERDUE && settled.every(isHostCommandDone)
 }
 
 interface PreparedCommand {
@@ -132,8 +132,11 @@
   }
 }
 
-/** An answer of its own that carries a signature belongs to another statement: one was lost. */
-function isOwnDone(reply: Result<BackendReply, LinkFailure>): boolean {
+/**
+ * Whether one of the host's own commands succeeded. An answer with a signature belongs to a forwarded statement: the
+ * command's own answer was lost.
+ */
+function isHostCommandDone(reply: Result<BackendReply, LinkFailure>): boolean {
   if (reply.isErr()) return false
   const { outcome } = reply.value
   return outcome.kind === 'done' && outcome.signature === null
@@ -146,27 +149,27 @@
     return mishap({ kind: 'refused', refusal: outcome.refusal }, status, position)
   }
   const { signature } = outcome
-  // Without a signature this is the answer to something else: the statement's own was lost.
+  // An answer without a signature belongs to another command: the statement's own answer was lost.
   if (signature === null) return mishap({ kind: 'lost', failure: 'malformedAnswer' }, null)
   return { kind: 'answered', rows, signature, status, position }
 }
 
-function checkLead(
+function checkStillPrimary(
   outcome: AttemptOutcome,
-  lead: readonly Result<BackendReply, LinkFailure>[],
+  check: readonly Result<BackendReply, LinkFailure>[],
 ): AttemptOutcome {
-  const [begun, ended] = lead
+  const [begun, ended] = check
   if (begun === undefined || ended === undefined) return outcome
   if (begun.isErr() || ended.isErr()) {
     return mishap({ kind: 'lost', failure: 'connectionLost' }, null)
   }
   const isIdle = ended.value.status === 'idle'
-  if (isOwnDone(begun))
+  if (isHostCommandDone(begun))
     return isIdle ? outcome : mishap({ kind: 'lost', failure: 'malformedAnswer' }, null)
   return mishap({ kind: 'refused', refusal: 'notPrimary' }, isIdle ? 'idle' : null)
 }
 
-/** Whether a command only a primary runs succeeded, and what it answered. */
+/** Runs one command; null when it was not answered by the deadline or its connection failed. */
 export async function runOwn(
   context: HostContext,
   pooled: PooledLink,
--- a/packages/host/src/backendServerState.ts
+++ b/packages/host/src/backendServerState.ts
@@ -1,5 +1,5 @@
 /**
- * One backend server as this host uses it: its connections, how fast and how alive it is.
+ * One backend server as this host sees it: its connection pool, latency, log progress and liveness.
  *
  * @internal
  */
@@ -9,15 +9,15 @@
 import type { HostContext } from './hostContext.js'
 import { ServerPool } from './serverPool.js'
 
-/** What the way to a server costs before anything is measured, in milliseconds. */
-const LATENCY_IN_ZONE = 8
-const LATENCY_IN_REGION = 11
-const LATENCY_PAST_THE_LINK = 50
+/** Latency estimates in milliseconds before the first measurement, by distance of the server. */
+const INITIAL_LATENCY_IN_ZONE = 8
+const INITIAL_LATENCY_IN_REGION = 11
+const INITIAL_LATENCY_ACROSS_REGIONS = 50
 
-/** After this long without a word from a server that owes one, it is asked whether it lives. */
+/** A server that owes an answer and has sent nothing for this long is probed with a new connection. */
 const TOUCH_AFTER_MILLISECONDS = 150
 
-/** How far away: in this host's zone, in its region, or past the paid link. */
+/** 0: in this host's availability zone, 1: in its region, 2: in another region, across the paid link. */
 export type Distance = 0 | 1 | 2
 
 export class BackendServerState {
@@ -43,7 +43,11 @@
     this.#entry = entry
     this.pool = new ServerPool(context, addressOf(entry), connectionLimit, holders)
     this.distance = distanceOf(context, entry)
-    const floors = [LATENCY_IN_ZONE, LATENCY_IN_REGION, LATENCY_PAST_THE_LINK] as const
+    const floors = [
+      INITIAL_LATENCY_IN_ZONE,
+      INITIAL_LATENCY_IN_REGION,
+      INITIAL_LATENCY_ACROSS_REGIONS,
+    ] as const
     this.latency = new LatencyEstimate(floors[this.distance])
   }
 
@@ -59,7 +63,7 @@
     return addressOf(this.#entry)
   }
 
-  /** What a statement takes, with the opening of a connection where its customer has none that is idle. */
+  /** Expected duration of a statement, including the opening of a connection if its customer has none idle. */
   expectedMilliseconds(customer: CustomerName | null, now: Milliseconds): number {
     const usual = this.latency.at(now)
     return customer === null ? usual : usual + this.pool.openingMilliseconds(customer)
@@ -70,24 +74,24 @@
     return this.writes.mayWrite(this.latency.at(now), now)
   }
 
-  /** When it last gave a sign of life. */
-  get heardAt(): number {
+  /** When anything was last received from it, or a liveness probe succeeded. */
+  get lastHeardAt(): number {
     return Math.max(this.pool.lastHeardAt, this.#touchedAt)
   }
 
-  /** Whether a question or a statement waits for it. */
+  /** Whether a probe or a request is pending on it. */
   get owesAnswer(): boolean {
     const isAsked = this.#probeSentAt !== null || this.#touchStartedAt !== null
     return isAsked || this.pool.busy > 0 || this.pool.waiting > 0
   }
 
-  /** How long it has owed a sign of life; 0 when it owes none. */
+  /** How long a probe has been pending without anything being received; 0 if none is pending. */
   silentFor(now: Milliseconds): number {
-    const asked = Math.min(this.#touchStartedAt ?? now, this.#probeSentAt ?? now)
-    return Math.max(0, now - Math.max(asked, this.heardAt))
+    const probedAt = Math.min(this.#touchStartedAt ?? now, this.#probeSentAt ?? now)
+    return Math.max(0, now - Math.max(probedAt, this.lastHeardAt))
   }
 
-  /** A question that a server answers at once whatever its load was sent, or answered. */
+  /** Records that a query was sent which a server answers at once, whatever its load. */
   probeSent(now: Milliseconds): void {
     this.#probeSentAt ??= now
   }
@@ -97,26 +101,25 @@
   }
 
   /**
-   * Asks a server that owes an answer and has been quiet whether it lives: by a new connection,
-   * since open ones may have gone silent while the server is well. Its operating system answers,
-   * not its queue.
+   * Probes a server that owes an answer and has sent nothing for a while. The probe is a new connection, since open ones
+   * may be broken while the server is well, and the server's operating system answers it independently of its load.
    */
   watchLife(now: Milliseconds): void {
     if (this.#touchStartedAt !== null) {
-      if (this.heardAt > this.#touchStartedAt) this.#endTouch()
+      if (this.lastHeardAt > this.#touchStartedAt) this.#endTouch()
       return
     }
-    const quietSince = Math.max(this.heardAt, this.pool.owesSince)
+    const quietSince = Math.max(this.lastHeardAt, this.pool.busySince)
     if (this.owesAnswer && now - quietSince > TOUCH_AFTER_MILLISECONDS) this.#touch(now)
   }
 
-  /** Another host finds it silent: it is asked, unless it gave a sign of life just now. */
+  /** Probes the server because another host finds it silent, unless something was received from it recently. */
   askForLife(now: Milliseconds): void {
-    const isQuiet = now - this.heardAt > TOUCH_AFTER_MILLISECONDS
+    const isQuiet = now - this.lastHeardAt > TOUCH_AFTER_MILLISECONDS
     if (this.#touchStartedAt === null && isQuiet) this.#touch(now)
   }
 
-  /** Forgets open questions: after a standstill of this host they say nothing of the server. */
+  /** Discards pending probes: after a stall of this process they tell nothing about the server. */
   forgetQuestions(): void {
     this.#probeSentAt = null
     this.#endTouch()
--- a/packages/host/src/callerName.ts
+++ b/packages/host/src/callerAuthorization.ts
@@ -1,6 +1,6 @@
 /**
- * In whose name one caller's statements run, and whether they may run now. Looked up anew for each operation, since
- * keys and limits change while sessions stay open.
+ * Authorizes a caller's session and operations, and determines the customer on whose behalf they run. Keys and limits
+ * are looked up for every operation, since they change while sessions stay open.
  *
  * @internal
  */
@@ -8,20 +8,20 @@
 import type { CustomerName, KeyDigest } from '@nutmegcourse/shared'
 import type { RouteLookup } from './routeLookup.js'
 
-/** What a caller is told that may not go on. */
+/** The refusal that a denied caller receives. */
 export interface Denial {
   readonly refusal: CallerRefusal
   readonly detail: string
 }
 
-/** News of keys comes again within about this time. */
-const UNCONFIRMED_RETRY_MILLISECONDS = 500
+/** Retry delay for a key that this host can not confirm; changes of keys usually arrive again within this time. */
+const UNCONFIRMED_KEY_RETRY_MILLISECONDS = 500
 
 const UNKNOWN_KEY: Denial = { refusal: 'unknownKey', detail: 'no customer has this key' }
 
 const UNCONFIRMED_KEY: Denial = {
   refusal: 'notRun',
-  detail: `keys may have been taken away retry_after_ms=${String(UNCONFIRMED_RETRY_MILLISECONDS)}`,
+  detail: `keys may have been taken away retry_after_ms=${String(UNCONFIRMED_KEY_RETRY_MILLISECONDS)}`,
 }
 
 const LOST_KEY: Denial = {
@@ -29,14 +29,14 @@
   detail: 'the key is no longer of the customer that began the transaction',
 }
 
-/** Whether a statement may run, and in whose name: null stands for nobody's. */
+/** Whether a statement may run, and for which customer; null where customers are not distinguished. */
 export type Permission =
   | { readonly kind: 'granted'; readonly customer: CustomerName | null }
   | { readonly kind: 'denied'; readonly denial: Denial }
 
 const denied = (denial: Denial): Permission => ({ kind: 'denied', denial })
 
-export class CallerName {
+export class CallerAuthorization {
   readonly #routes: RouteLookup
   readonly #key: KeyDigest
 
@@ -45,8 +45,8 @@
     this.#key = key
   }
 
-  /** To use the route at all. */
-  forSession(route: Route): Permission {
+  /** Whether the caller may use the route at all. */
+  authorizeSession(route: Route): Permission {
     const identity = this.#routes.identify(route, this.#key)
     switch (identity.kind) {
       case 'anyone':
@@ -60,9 +60,9 @@
     }
   }
 
-  /** For one more operation, which has to keep to its customer's limit. */
-  async forOperation(route: Route): Promise<Permission> {
-    const permission = this.forSession(route)
+  /** Whether one more operation may run, within its customer's limit. */
+  async authorizeOperation(route: Route): Promise<Permission> {
+    const permission = this.authorizeSession(route)
     if (permission.kind === 'denied' || permission.customer === null) return permission
     const { customer } = permission
     const admission = await this.#routes.admitOperation(customer)
@@ -73,12 +73,12 @@
   }
 
   /**
-   * For a further statement of a transaction. It runs on a connection of the customer that began it: when the key is
-   * gone or moved, so is its right to run.
+   * Whether another statement of an open transaction may run. It runs on a connection of the customer that began the
+   * transaction, so it is denied once the key has been removed or assigned to another customer.
    */
-  withinTransaction(route: Route, customer: CustomerName | null): Permission {
+  authorizeInTransaction(route: Route, customer: CustomerName | null): Permission {
     if (customer === null) return { kind: 'granted', customer }
-    const now = this.forSession(route)
+    const now = this.authorizeSession(route)
     return now.kind === 'granted' && now.customer === customer ? now : denied(LOST_KEY)
   }
 }
--- a/packages/host/src/callerSession.ts
+++ b/packages/host/src/callerSession.ts
@@ -1,6 +1,5 @@
 /**
- * One caller's session on its connection: when it begins and ends, in which order its statements are served, and what
- * it is told of each.
+ * One caller's session on its connection: accepts or rejects it, serves its statements in order, and ends it.
  *
  * @internal
  */
@@ -17,20 +16,23 @@
 import { SessionStatements } from './sessionStatements.js'
 import type { Runner } from './statements.js'
 
-/** A caller gives up when its session is not taken within two seconds; this leaves it time to hear why. */
-const WELCOME_LIMIT_MILLISECONDS = 1500
+/**
+ * How long a new session waits for the first configuration. Callers time out when a session is not accepted within two
+ * seconds; the shorter limit lets the rejection reach them before that.
+ */
+const CONFIGURATION_WAIT_MILLISECONDS = 1500
 
 const STOPPING = 'this host is stopping'
 
-/** Statements that one caller may send ahead of their answers. */
-const QUEUE_LIMIT = 64
+/** Statements that one caller may have queued (pipelined) behind the running one. */
+const QUEUED_STATEMENTS_LIMIT = 64
 
-/** When a session that has to end does so. */
+/** Whether and when the session is to be closed. */
 type Closing =
   | 'no'
-  /** Behind the next answer, as soon as no transaction is open. */
+  /** After the next answer, as soon as no transaction is open. */
   | 'afterWork'
-  /** As soon as nothing is owed and no transaction is open. */
+  /** As soon as no statement is pending and no transaction is open. */
   | 'whenIdle'
 
 export class CallerSession implements CallerEvents {
@@ -40,18 +42,18 @@
   readonly #runner: Runner
   readonly #onEnd: (session: CallerSession) => void
   readonly #queue: CallerStatement[] = []
-  /** Null before the session began. */
+  /** Null before the session has started. */
   #statements: SessionStatements | null = null
-  #isWelcome = false
-  #isWorking = false
-  #isOver = false
+  #isAccepted = false
+  #isServing = false
+  #isEnded = false
   #closing: Closing = 'no'
-  #endsTransaction = false
-  #restingSince: Milliseconds
+  #endsTransactionWhenIdle = false
+  #idleSince: Milliseconds
   #endedAt: Milliseconds | null = null
-  /** The statement that is owed its answer. */
+  /** The statement that is being served. */
   #current: { readonly statement: CallerStatement; readonly arrivedAt: Milliseconds } | null = null
-  readonly #takenAt: Milliseconds
+  readonly #acceptedAt: Milliseconds
   #idleTimer: NodeJS.Timeout | null = null
 
   constructor(
@@ -66,14 +68,14 @@
     this.#routes = routes
     this.#runner = runner
     this.#onEnd = onEnd
-    this.#takenAt = context.clock.now()
-    this.#restingSince = this.#takenAt
+    this.#acceptedAt = context.clock.now()
+    this.#idleSince = this.#acceptedAt
     link.listen(this)
   }
 
-  /** Whether it waits for an answer or has a transaction open. */
+  /** Whether a statement is pending or a transaction is open. */
   get isBusy(): boolean {
-    return this.#isWorking || this.#queue.length > 0 || this.#transaction !== 'none'
+    return this.#isServing || this.#queue.length > 0 || this.#transaction !== 'none'
   }
 
   get #database(): string | null {
@@ -84,9 +86,9 @@
     return this.#statements?.transaction ?? 'none'
   }
 
-  /** When it was last answered, or taken. */
+  /** When its last statement was answered, or when it was accepted if none was. */
   get restingSince(): Milliseconds {
-    return this.#restingSince
+    return this.#idleSince
   }
 
   started(database: string, key: KeyDigest): void {
@@ -102,58 +104,58 @@
       key,
     )
     this.#statements = statements
-    void this.#welcome(statements)
+    void this.#accept(statements)
   }
 
   statement(statement: CallerStatement): void {
-    if (this.#isOver) {
-      this.#drop(statement)
+    if (this.#isEnded) {
+      this.#logDropped(statement)
       return
     }
     const statements = this.#statements
-    if (statements === null || this.#queue.length >= QUEUE_LIMIT) {
+    if (statements === null || this.#queue.length >= QUEUED_STATEMENTS_LIMIT) {
       this.#refuseSession('malformed', 'a statement before the session began, or too many at once')
       return
     }
     this.#queue.push(statement)
-    if (this.#isWelcome && !this.#isWorking) void this.#work(statements)
+    if (this.#isAccepted && !this.#isServing) void this.#serveQueue(statements)
   }
 
   ended(): void {
-    if (this.#isOver) return
-    this.#isOver = true
+    if (this.#isEnded) return
+    this.#isEnded = true
     this.#endedAt = this.#context.clock.now()
     this.#queue.length = 0
     this.#stopIdleTimer()
-    // A statement that runs on the transaction's connection sees to it when its answer comes.
-    if (!this.#isWorking) this.#statements?.dropTransaction()
+    // While a statement runs on the transaction's connection, #serveQueue drops the transaction after its answer.
+    if (!this.#isServing) this.#statements?.dropTransaction()
     this.#onEnd(this)
   }
 
-  /** Ends the session behind its next answer, or when its transaction is over. */
+  /** Ends the session after its next answer, or when its transaction is over. */
   closeAfterWork(): void {
     if (this.#closing === 'no') this.#closing = 'afterWork'
   }
 
-  /** Ends the session now if it rests, else as soon as it does. */
+  /** Ends the session now if it is idle, else as soon as it is. */
   closeWhenIdle(): void {
     this.#closing = 'whenIdle'
     this.#closeIfIdle()
   }
 
   /**
-   * Ends an open transaction as soon as no statement runs in it; nothing of it is kept. One in which a
-   * statement ran when the time of transactions was over went on to the end of the process, which
-   * cut it.
+   * Rolls back an open transaction as soon as no statement runs in it. The flag also covers a transaction in which a
+   * statement runs at the moment of the call: without it, that transaction stayed open until the process ended and was
+   * cut off.
    */
   endTransactionWhenIdle(): void {
-    this.#endsTransaction = true
-    if (!this.#isWorking) this.#statements?.endTransaction()
+    this.#endsTransactionWhenIdle = true
+    if (!this.#isServing) this.#statements?.endTransaction()
   }
 
   /**
-   * The process ends. A caller that rests in a transaction hears that nothing of it is kept; what is
-   * taken from one that is owed an answer is logged.
+   * Called when the process ends. A caller that is idle in a transaction is told that it was aborted; a statement or
+   * transaction that is cut off is logged.
    */
   endNow(stoppingSince: Milliseconds): void {
     if (this.isBusy) this.#logCut(stoppingSince)
@@ -169,19 +171,19 @@
       statement: current?.statement.body.kind ?? null,
       transaction: this.#transaction,
       owedMilliseconds: current === null ? 0 : Math.round(now - current.arrivedAt),
-      takenMilliseconds: Math.round(this.#takenAt - stoppingSince),
+      takenMilliseconds: Math.round(this.#acceptedAt - stoppingSince),
     })
   }
 
-  async #welcome(statements: SessionStatements): Promise<void> {
+  async #accept(statements: SessionStatements): Promise<void> {
     const { intake } = this.#routes
     if (intake === 'none') {
       this.#refuseSession('tooManyCallers', STOPPING)
       return
     }
     if (intake === 'brief') this.closeAfterWork()
-    if (!this.#routes.isKnown) await this.#routes.whenKnown(WELCOME_LIMIT_MILLISECONDS)
-    if (this.#isOver) return
+    if (!this.#routes.isKnown) await this.#routes.whenKnown(CONFIGURATION_WAIT_MILLISECONDS)
+    if (this.#isEnded) return
     if (!this.#routes.isKnown) {
       this.#refuseSession('tooManyCallers', 'this host has no configuration yet')
       return
@@ -191,9 +193,9 @@
       this.#refuseSession(denial.refusal, denial.detail)
       return
     }
-    this.#isWelcome = true
+    this.#isAccepted = true
     this.#link.welcome()
-    if (this.#queue.length > 0) void this.#work(statements)
+    if (this.#queue.length > 0) void this.#serveQueue(statements)
     else if (this.#closing === 'whenIdle') this.#closeIfIdle()
   }
 
@@ -203,28 +205,28 @@
     this.ended()
   }
 
-  async #work(statements: SessionStatements): Promise<void> {
-    this.#isWorking = true
+  async #serveQueue(statements: SessionStatements): Promise<void> {
+    this.#isServing = true
     this.#stopIdleTimer()
     for (let next = this.#queue.shift(); next !== undefined; next = this.#queue.shift()) {
       const arrivedAt = this.#context.clock.now()
       this.#current = { statement: next, arrivedAt }
       const { answer, position } = await statements.serve(next)
       this.#current = null
-      this.#count(next, answer, arrivedAt)
-      if (this.#isOver) break
+      this.#recordMetrics(next, answer, arrivedAt)
+      if (this.#isEnded) break
       this.#link.answer(answer, statements.status, position)
     }
-    this.#isWorking = false
-    this.#restingSince = this.#context.clock.now()
-    if (this.#isOver) this.#statements?.dropTransaction()
-    else this.#afterWork()
+    this.#isServing = false
+    this.#idleSince = this.#context.clock.now()
+    if (this.#isEnded) this.#statements?.dropTransaction()
+    else this.#afterServing()
   }
 
-  #afterWork(): void {
-    if (this.#endsTransaction) this.#statements?.endTransaction()
+  #afterServing(): void {
+    if (this.#endsTransactionWhenIdle) this.#statements?.endTransaction()
     if (this.#closing !== 'no') this.#closeIfIdle()
-    if (this.#isOver || this.#transaction !== 'running') return
+    if (this.#isEnded || this.#transaction !== 'running') return
     const limit = this.#routes.idleTransactionMilliseconds
     if (!Number.isFinite(limit)) return
     this.#idleTimer = setTimeout(() => {
@@ -234,18 +236,18 @@
   }
 
   /**
-   * The caller hears why before the connection ends. A statement that crosses the end on its way is never
-   * read as one to run, and its caller, which gets this word in place of an answer, knows so: by an
-   * end alone it could not tell whether its write had run.
+   * Sends the caller the reason before the connection is closed. A statement that crosses this message on the network
+   * is never run, and the caller, which receives the rejection in place of an answer, can rely on that: from a closed
+   * connection alone it could not tell whether its write had run.
    */
   #closeIfIdle(): void {
-    if (this.#isOver || this.isBusy) return
+    if (this.#isEnded || this.isBusy) return
     this.#link.reject('tooManyCallers', STOPPING)
     this.ended()
   }
 
-  /** It came behind the end of the session, and is not run. */
-  #drop({ id }: CallerStatement): void {
+  /** Logs a statement that arrived after the end of the session and is not run. */
+  #logDropped({ id }: CallerStatement): void {
     const { clock, log } = this.#context
     const endedAt = this.#endedAt ?? clock.now()
     log.write('statement_dropped', {
@@ -260,9 +262,9 @@
     this.#idleTimer = null
   }
 
-  #count(statement: CallerStatement, answer: CallerAnswer, arrivedAt: Milliseconds): void {
+  #recordMetrics(statement: CallerStatement, answer: CallerAnswer, arrivedAt: Milliseconds): void {
     const outcome = answer.kind === 'refused' ? answer.refusal : 'answered'
-    const took = this.#context.clock.now() - arrivedAt
-    this.#context.metrics.statement(statement.body.kind, outcome, took)
+    const elapsed = this.#context.clock.now() - arrivedAt
+    this.#context.metrics.statement(statement.body.kind, outcome, elapsed)
   }
 }
--- a/packages/host/src/connectionOpener.ts
+++ b/packages/host/src/connectionOpener.ts
@@ -1,6 +1,6 @@
 /**
- * Opens connections to one backend server, one customer's at a time, and remembers how the server took it: whether it
- * is full, refuses, or takes long.
+ * Opens connections to one backend server, each for one customer, and tracks the outcome: whether the server is full
+ * or refuses connections, and how long opening takes.
  *
  * @internal
  */
@@ -16,29 +16,32 @@
 import type { HostContext } from './hostContext.js'
 import { OVERDUE, within } from './waiting.js'
 
-/** A server that takes a connection does so within tens of milliseconds, past the link too. */
-const OPEN_LIMIT_MILLISECONDS = 1000
+/** A server that accepts a connection does so within tens of milliseconds, also from another region. */
+const OPEN_TIMEOUT_MILLISECONDS = 1000
 
-/** After a refusal for want of connections; others give theirs back within about this time. */
-const FULL_PAUSE_MILLISECONDS = 60
+/** Delay after a full server rejected a connection; other hosts usually release some within this time. */
+const FULL_BACKOFF_MILLISECONDS = 60
 
-/** For so long after such a refusal this host asks for no more than one at a time. */
-const FULL_CAUTION_MILLISECONDS = 1000
+/** How long after such a rejection this host opens no more than one connection at a time. */
+const FULL_MEMORY_MILLISECONDS = 1000
 
-/** The wait that is forecast, and told, where no connection has come for longer; hosts give theirs back sooner. */
-const LONGEST_DENIAL_MILLISECONDS = 1000
+/**
+ * Upper limit of the wait that is forecast and reported to callers while a full server admits no connection; other
+ * hosts release theirs sooner.
+ */
+const MAXIMUM_DENIAL_MILLISECONDS = 1000
 
-/** After a refused connection. A server that starts again is found within this time. */
-const REFUSED_PAUSE_MILLISECONDS = 80
+/** Delay after a refused connection, within which a restarted server is found again. */
+const REFUSED_BACKOFF_MILLISECONDS = 80
 
-/** Why no connection came. */
+/** Why no connection was opened. */
 export type OpenFailure = 'full' | 'unreachable'
 
-/** Whoever holds the connections. */
-export interface ConnectionHolder {
-  /** Connections that it has. */
+/** Receives the opened connections and the failures. */
+export interface ConnectionReceiver {
+  /** Number of open connections. */
   readonly held: number
-  /** Statements that wait for one. */
+  /** Number of requests that wait for a connection. */
   readonly waiting: number
   opened(link: BackendLink, customer: CustomerName | null): void
   failedToOpen(failure: OpenFailure): void
@@ -47,67 +50,75 @@
 export class ConnectionOpener {
   readonly #context: HostContext
   readonly #address: BackendAddress
-  readonly #holder: ConnectionHolder
-  /** Connections that are being opened, by customer. */
+  readonly #receiver: ConnectionReceiver
+  /** Number of connections that are being opened, by customer. */
   readonly #opening = new Map<CustomerName | null, number>()
-  readonly #spans = new ServiceEstimate()
+  readonly #openingTimes = new ServiceEstimate()
   #mayOpenAt = milliseconds(0)
   #fullAt = milliseconds(Number.NEGATIVE_INFINITY)
-  /** Since when it has been full while this host holds no connection to it. */
+  /** Since when the server has been full while this host holds no connection to it. */
   #deniedSince: Milliseconds | null = null
-  /** Refused connections in a row. */
+  /** Number of consecutive refused connections. */
   refusals = 0
 
-  constructor(context: HostContext, address: BackendAddress, holder: ConnectionHolder) {
+  constructor(context: HostContext, address: BackendAddress, receiver: ConnectionReceiver) {
     this.#context = context
     this.#address = address
-    this.#holder = holder
+    this.#receiver = receiver
   }
 
-  /** Connections that are being opened. */
-  get count(): number {
-    let count = 0
-    for (const each of this.#opening.values()) count += each
-    return count
+  /** Number of connections that are being opened. */
+  get openingCount(): number {
+    let total = 0
+    for (const count of this.#opening.values()) total += count
+    return total
   }
 
-  /** The same by customer. */
-  get byCustomer(): ReadonlyMap<CustomerName | null, number> {
+  /** Number of connections that are being opened, by customer. */
+  get openingByCustomer(): ReadonlyMap<CustomerName | null, number> {
     return this.#opening
   }
 
-  /** What opening one has taken lately. */
+  /** Estimated time that opening a connection takes. */
   get usualMilliseconds(): number {
-    return this.#spans.at(this.#context.clock.now())
+    return this.#openingTimes.at(this.#context.clock.now())
   }
 
-  /** A server that was full is asked for one connection at a time: many hosts want the few it has. */
+  /**
+   * Whether the server was full recently. Then only one connection at a time is requested, because many hosts compete
+   * for the few that it has.
+   */
   get wasFull(): boolean {
-    return this.#context.clock.now() < addMilliseconds(this.#fullAt, FULL_CAUTION_MILLISECONDS)
+    return this.#context.clock.now() < addMilliseconds(this.#fullAt, FULL_MEMORY_MILLISECONDS)
   }
 
-  /** Whether a failure lies far enough back. */
+  /** Whether the delay after the last failure has passed. */
   get mayOpen(): boolean {
     return this.#context.clock.now() >= this.#mayOpenAt
   }
 
   /**
-   * For how long the full server has given this host no connection at all. No line moves here then, and it
-   * may well last as long again: work that joined it waited to the end of its time, 0.9 s, in vain.
+   * For how long the full server has admitted no connection of this host at all. The queue does not move meanwhile, and
+   * the condition is likely to last as long again: without this forecast, queued requests waited until their deadline,
+   * 0.9 s, and were then refused.
    */
   get deniedMilliseconds(): number {
     if (this.#deniedSince === null || !this.wasFull) return 0
     const denied = this.#context.clock.now() - this.#deniedSince
-    return Math.min(denied, LONGEST_DENIAL_MILLISECONDS)
+    return Math.min(denied, MAXIMUM_DENIAL_MILLISECONDS)
   }
 
   async open(customer: CustomerName | null): Promise<void> {
-    this.#note(customer, 1)
+    this.#countOpening(customer, 1)
     const { clock, dialer } = this.#context
-    const askedAt = clock.now()
+    const startedAt = clock.now()
     const { link, opened } = dialer.open(this.#address, customer)
-    const result = await within(opened, addMilliseconds(askedAt, OPEN_LIMIT_MILLISECONDS), clock)
-    this.#note(customer, -1)
+    const result = await within(
+      opened,
+      addMilliseconds(startedAt, OPEN_TIMEOUT_MILLISECONDS),
+      clock,
+    )
+    this.#countOpening(customer, -1)
     if (result === OVERDUE) {
       link.close()
       this.#failed({ kind: 'connectionLost' })
@@ -119,11 +130,11 @@
     }
     this.refusals = 0
     this.#deniedSince = null
-    this.#spans.record(clock.now() - askedAt, clock.now())
-    this.#holder.opened(link, customer)
+    this.#openingTimes.record(clock.now() - startedAt, clock.now())
+    this.#receiver.opened(link, customer)
   }
 
-  #note(customer: CustomerName | null, change: 1 | -1): void {
+  #countOpening(customer: CustomerName | null, change: 1 | -1): void {
     const count = (this.#opening.get(customer) ?? 0) + change
     if (count === 0) this.#opening.delete(customer)
     else this.#opening.set(customer, count)
@@ -131,20 +142,20 @@
 
   #failed(failure: LinkFailure): void {
     const { log, clock, random } = this.#context
-    const { held, waiting } = this.#holder
+    const { held, waiting } = this.#receiver
     const isFull = failure.kind === 'rejected' && failure.refusal === 'tooManyConnections'
     if (failure.kind === 'connectionRefused') this.refusals += 1
-    if (isFull) this.#noteFull(clock.now())
-    const span = isFull ? FULL_PAUSE_MILLISECONDS : REFUSED_PAUSE_MILLISECONDS
+    if (isFull) this.#recordFull(clock.now())
+    const span = isFull ? FULL_BACKOFF_MILLISECONDS : REFUSED_BACKOFF_MILLISECONDS
     this.#mayOpenAt = addMilliseconds(clock.now(), drawnApart(span, random))
     const { server, service } = this.#address
     log.write('connection_not_opened', { server, service, ...failure, waiting, held })
-    this.#holder.failedToOpen(isFull ? 'full' : 'unreachable')
+    this.#receiver.failedToOpen(isFull ? 'full' : 'unreachable')
   }
 
-  #noteFull(now: Milliseconds): void {
+  #recordFull(now: Milliseconds): void {
     if (!this.wasFull) this.#deniedSince = null
-    if (this.#holder.held === 0) this.#deniedSince ??= now
+    if (this.#receiver.held === 0) this.#deniedSince ??= now
     this.#fullAt = now
   }
 }
--- a/packages/host/src/customerLimits.ts
+++ b/packages/host/src/customerLimits.ts
@@ -1,6 +1,5 @@
 /**
- * Holds callers to their customers' limits: each operation needs a grant from one of the hosts that hold a part of
- * the limit.
+ * Enforces customers' limits: each operation needs a grant from one of the hosts that hold a part of the limit.
  *
  * @internal
  */
@@ -15,34 +14,34 @@
 
 const ADMITTED: Admission = { kind: 'admitted' }
 
-/** A host that holds a part answers at once; past the link between regions that takes tens of milliseconds. */
-const ANSWER_LIMIT_MILLISECONDS = 200
+/** Holders answer immediately; a round trip between regions takes tens of milliseconds. */
+const GRANT_TIMEOUT_MILLISECONDS = 200
 
-/** A holder that did not answer is left alone for so long. */
-const AVOID_MILLISECONDS = 1000
+/** A holder that did not answer is not asked again for this long. */
+const HOLDER_BACKOFF_MILLISECONDS = 1000
 
-/** What callers are told to wait where no holder of a part can be reached. */
-const UNREACHABLE_WAIT_MILLISECONDS = 500
+/** The retry delay sent to callers when no holder of a part can be reached. */
+const UNREACHABLE_RETRY_MILLISECONDS = 500
 
-/** Ways to the hosts that hold parts. */
+/** Limits, their holders, and the connections to these hosts. */
 export interface LimitPeers extends LimitPlan {
   peer(host: string): RelayPeer | null
 }
 
 export class CustomerLimits {
   readonly #context: HostContext
-  readonly #desk: LimitDesk
+  readonly #granter: LimitDesk
   readonly #peers: LimitPeers
-  /** Customers whose limits are used up, as all holders said. */
+  /** Customers whose limits every holder that answered reported as exhausted. */
   readonly #spent: Pauses<CustomerName>
-  readonly #avoided: Pauses<string>
+  readonly #unresponsive: Pauses<string>
 
-  constructor(context: HostContext, desk: LimitDesk, peers: LimitPeers) {
+  constructor(context: HostContext, granter: LimitDesk, peers: LimitPeers) {
     this.#context = context
-    this.#desk = desk
+    this.#granter = granter
     this.#peers = peers
     this.#spent = new Pauses(context.clock)
-    this.#avoided = new Pauses(context.clock)
+    this.#unresponsive = new Pauses(context.clock)
   }
 
   /** Whether one more operation of the customer may run now. */
@@ -52,7 +51,7 @@
     if (spentFor > 0) return this.#overLimit(customer, spentFor)
     let shortest: number | null = null
     for (const holder of this.#peers.limitHolders(customer)) {
-      const answer = await this.#ask(holder, customer)
+      const answer = await this.#requestGrant(holder, customer)
       if (answer?.kind === 'granted') return ADMITTED
       if (answer?.kind !== 'spent') continue
       shortest = Math.min(shortest ?? answer.waitMilliseconds, answer.waitMilliseconds)
@@ -62,12 +61,12 @@
     return this.#overLimit(customer, shortest)
   }
 
-  async #ask(holder: string, customer: CustomerName): Promise<GrantAnswer | null> {
-    if (holder === this.#context.settings.entryHost) return this.#desk.answer({ customer })
+  async #requestGrant(holder: string, customer: CustomerName): Promise<GrantAnswer | null> {
+    if (holder === this.#context.settings.entryHost) return this.#granter.answer({ customer })
     const peer = this.#peers.peer(holder)
-    if (peer?.isUp !== true || this.#avoided.left(holder) > 0) return null
-    const answer = await peer.askGrant({ customer }, ANSWER_LIMIT_MILLISECONDS)
-    if (answer === null) this.#avoided.begin(holder, AVOID_MILLISECONDS)
+    if (peer?.isUp !== true || this.#unresponsive.left(holder) > 0) return null
+    const answer = await peer.askGrant({ customer }, GRANT_TIMEOUT_MILLISECONDS)
+    if (answer === null) this.#unresponsive.begin(holder, HOLDER_BACKOFF_MILLISECONDS)
     return answer
   }
 
@@ -81,6 +80,6 @@
 
   #unreachable(customer: CustomerName): Admission {
     this.#context.log.write('limit_unknown', { customer })
-    return { kind: 'overLimit', waitMilliseconds: UNREACHABLE_WAIT_MILLISECONDS }
+    return { kind: 'overLimit', waitMilliseconds: UNREACHABLE_RETRY_MILLISECONDS }
   }
 }
--- a/packages/host/src/limitDesk.ts
+++ b/packages/host/src/limitDesk.ts
@@ -1,5 +1,5 @@
 /**
- * The parts of customers' limits that this host holds: grants operations to every host that asks.
+ * Grants operations from the parts of customers' limits that this host holds, to every host that requests one.
  *
  * @internal
  */
@@ -8,32 +8,32 @@
 import type { LimitTolerance, OperationLimit } from '@nutmegcourse/protocol'
 import type { HostContext } from './hostContext.js'
 
-export interface GrantQuestion {
+export interface GrantRequest {
   readonly customer: CustomerName
 }
 
 export type GrantAnswer =
   | { readonly kind: 'granted' }
-  /** The part is used up for so long. */
+  /** The part is exhausted; the next operation is available after the wait. */
   | { readonly kind: 'spent'; readonly waitMilliseconds: number }
-  /** This host holds no part, or knows of no limit. */
+  /** This host holds no part, is stopping, or knows no limit for the customer. */
   | { readonly kind: 'declined' }
 
-/** What the desk has to know of the fleet. */
+/** Limits of customers, and the hosts that hold parts of them. */
 export interface LimitPlan {
   limitOf(customer: CustomerName): OperationLimit | null
-  /** The hosts that hold a part, in the order in which to ask them; this host may be one of them. */
+  /** The hosts that hold a part, in the order in which they are asked; this host may be one of them. */
   limitHolders(customer: CustomerName): readonly string[]
 }
 
-/** Clocks begin with their process. Whatever ran at this host before granted nothing since. */
+/** The clock starts at 0 with the process; an earlier process on this host has granted nothing since then. */
 const PROCESS_START = milliseconds(0)
 
 export class LimitDesk {
   readonly #context: HostContext
   readonly #plan: LimitPlan
   readonly #parts = new Map<CustomerName, LimitPart>()
-  #fillsSince = PROCESS_START
+  #grantsSince = PROCESS_START
   #isLeaving = false
 
   constructor(context: HostContext, plan: LimitPlan) {
@@ -42,21 +42,21 @@
   }
 
   /**
-   * Other hosts have not known this one before. Until they hear of it, the host whose place it takes may go on
-   * granting the same part.
+   * Called when this host has registered as one that the others did not know. Until they have received the change, the
+   * host that it replaces may continue to grant the same part, so the part fills only after that time.
    */
   joined(): void {
     const { clock, settings } = this.#context
     this.#parts.clear()
-    this.#fillsSince = addMilliseconds(clock.now(), settings.configurationMilliseconds)
+    this.#grantsSince = addMilliseconds(clock.now(), settings.configurationMilliseconds)
   }
 
-  /** This host stops: its parts pass to other hosts. */
+  /** Declines all further requests, because this host stops and its parts pass to other hosts. */
   leave(): void {
     this.#isLeaving = true
   }
 
-  answer({ customer }: GrantQuestion): GrantAnswer {
+  answer({ customer }: GrantRequest): GrantAnswer {
     const { limitTolerance, entryHost } = this.#context.settings
     const limit = this.#plan.limitOf(customer)
     const holders = this.#plan.limitHolders(customer)
@@ -75,12 +75,12 @@
     parts: number,
     tolerance: LimitTolerance,
   ): LimitPart {
-    const known = this.#parts.get(customer)
-    if (known !== undefined) {
-      known.divide(limit, parts)
-      return known
+    const existing = this.#parts.get(customer)
+    if (existing !== undefined) {
+      existing.divide(limit, parts)
+      return existing
     }
-    const part = new LimitPart(limit, parts, tolerance, this.#fillsSince)
+    const part = new LimitPart(limit, parts, tolerance, this.#grantsSince)
     this.#parts.set(customer, part)
     return part
   }
--- a/packages/host/src/pauses.ts
+++ b/packages/host/src/pauses.ts
@@ -1,5 +1,6 @@
 /**
- * Things that are left alone for a while, each by its name: hosts that did not answer, limits that are used up.
+ * Backoffs by key, such as hosts that did not answer or limits that are exhausted: a key is not to be tried again until
+ * its backoff has expired.
  *
  * @internal
  */
@@ -13,11 +14,11 @@
     this.#clock = clock
   }
 
-  begin(name: Name, span: number): void {
-    this.#until.set(name, addMilliseconds(this.#clock.now(), span))
+  begin(name: Name, milliseconds: number): void {
+    this.#until.set(name, addMilliseconds(this.#clock.now(), milliseconds))
   }
 
-  /** Milliseconds until the pause is over; 0 when there is none. */
+  /** Milliseconds until the backoff of `name` expires; 0 if there is none. */
   left(name: Name): number {
     const until = this.#until.get(name)
     if (until === undefined) return 0
--- a/packages/host/src/pooledLink.ts
+++ b/packages/host/src/pooledLink.ts
@@ -1,5 +1,5 @@
 /**
- * Connections that a pool lends, and the terms on which work waits for one.
+ * The connections of a pool, and the terms on which requests wait for one.
  *
  * @internal
  */
@@ -8,41 +8,42 @@
 import type { ConnectionValues, SessionValues, Waiter } from '@nutmegcourse/state'
 import type { OpenFailure } from './connectionOpener.js'
 
-/** One connection, and what is known of it. */
+/** One connection and its state in the pool. */
 export interface PooledLink {
   readonly link: BackendLink
   readonly values: ConnectionValues
-  /** Whose statements it runs; null where customers are not told apart. */
+  /** The customer whose statements it runs; null where customers are not distinguished. */
   readonly customer: CustomerName | null
   idleSince: Milliseconds
-  /** When a customer's work last took it. */
+  /** When a customer's request last acquired it. */
   usedAt: Milliseconds
-  /** Since when work holds it. */
+  /** When it was last acquired. */
   takenAt: Milliseconds
 }
 
+/** `overdue`: the deadline passed. `withdrawn`: the pool was closed, or its server is no longer the primary. */
 export type AcquireFailure = OpenFailure | 'overdue' | 'withdrawn'
 
 export type Acquired =
   | { readonly link: PooledLink }
   | { readonly failure: AcquireFailure }
-  /** The line is so long that it was not joined. */
+  /** The forecast wait exceeds the maximum, so the request was not queued. */
   | { readonly failure: 'overloaded'; readonly waitMilliseconds: number }
 
-/** Under which terms work waits for a connection. */
+/** The terms on which a request waits for a connection. */
 export interface AcquireTerms {
   readonly priority: number
   readonly deadline: Milliseconds
-  /** Work that would have to wait longer, by all that is known, is told so at once. */
-  readonly patienceMilliseconds: number
+  /** A request whose forecast wait is longer fails immediately. */
+  readonly maximumWaitMilliseconds: number
   readonly use: ConnectionUse
 }
 
-/** A customer's work needs a connection of that customer; questions of the host itself go over any. */
+/** A customer's request needs a connection of that customer; the host's own commands use any connection. */
 export type ConnectionUse =
   { readonly kind: 'customer'; readonly customer: CustomerName | null } | { readonly kind: 'own' }
 
-/** Work that waits for a connection. */
+/** A request that waits for a connection. */
 export interface LinkWaiter extends Waiter {
   readonly session: SessionValues
   readonly use: ConnectionUse
@@ -50,10 +51,10 @@
   settle(acquired: Acquired): void
 }
 
-/** Whose connection is opened for a use; one for the host's own questions is in nobody's name. */
+/** The customer for which a connection is opened; null for the host's own commands. */
 export const customerOf = (use: ConnectionUse): CustomerName | null =>
   use.kind === 'own' ? null : use.customer
 
-/** Whether the waiter's work may run on the connection. */
-export const isFor = ({ customer }: PooledLink, { use }: LinkWaiter): boolean =>
+/** Whether the waiter may use the connection. */
+export const canUse = ({ customer }: PooledLink, { use }: LinkWaiter): boolean =>
   use.kind === 'own' || use.customer === customer
--- a/packages/host/src/relayMessages.ts
+++ b/packages/host/src/relayMessages.ts
@@ -1,5 +1,5 @@
 /**
- * What hosts tell each other about statements that one runs for another: JSON-RPC over TCP.
+ * Messages between entry hosts about statements that one runs on behalf of another (JSON-RPC over TCP).
  *
  * @internal
  */
@@ -18,11 +18,11 @@
   continue: 'continue',
   end: 'end',
   ping: 'ping',
-  /** One operation under a customer's limit. */
+  /** Requests one operation under a customer's limit. */
   grant: 'grant',
-  /** Changes of the store, for a host that follows it through this one. */
+  /** Requests changes of the store from a host of the zone that follows the store. */
   news: 'news',
-  /** From the host that runs statements: it stops, and takes nothing new. */
+  /** Notification by the host that runs statements: it is stopping and accepts no new ones. */
   leaving: 'leaving',
 } as const
 
@@ -35,16 +35,16 @@
   readonly route: RouteMessage
   readonly customer: CustomerName | null
   readonly id: string
-  /** Empty where the body says it all. */
+  /** Empty where the body contains everything. */
   readonly text: string
   readonly body: RemoteStatement['body']
   readonly isWrite: boolean
   /** The session's values. */
   readonly values: readonly (readonly [string, string])[]
-  /** The definition of the prepared statement that is executed. */
+  /** The definition of the prepared statement to execute. */
   readonly prepared: PreparedStatement | null
   readonly own: PositionMessage | null
-  /** What is left of the statement's time, in milliseconds: clocks of hosts are never compared. */
+  /** Milliseconds until the statement's deadline. Relative, because clocks of hosts are never compared. */
   readonly remaining: number
 }
 
@@ -67,14 +67,17 @@
       readonly kind: 'answered'
       readonly answer: CallerAnswer
       readonly position: PositionMessage | null
-      /** Why it was refused, in one word. */
+      /** The cause of a refusal as one word. */
       readonly reason?: string
-      /** The session's own position afterwards. */
+      /** The position of the session's last acknowledged write afterwards. */
       readonly own: PositionMessage | null
-      /** The transaction that goes on at this host. */
+      /** The identifier of the transaction that stays open at the answering host. */
       readonly transaction: number | null
     }
-  /** Nothing was done: the host stops, or does not know the service or the transaction. */
+  /**
+   * Nothing was run: the host is stopping, does not reach the primary, or does not know the service, the route or the
+   * transaction.
+   */
   | { readonly kind: 'declined' }
 
 export function writeRequest(
--- a/packages/host/src/relayPeer.ts
+++ b/packages/host/src/relayPeer.ts
@@ -1,5 +1,5 @@
 /**
- * The way to one other entry host that runs statements for this one.
+ * Client for one other entry host that runs statements on behalf of this one.
  *
  * @internal
  */
@@ -7,32 +7,32 @@
 import type { HostAddress } from '@nutmegcourse/protocol'
 import { openJsonRpc, type JsonRpcConnection } from '@nutmegcourse/transport'
 import type { HostContext } from './hostContext.js'
-import type { GrantAnswer, GrantQuestion } from './limitDesk.js'
+import type { GrantAnswer, GrantRequest } from './limitDesk.js'
 import type { NewsAnswer, NewsQuestion } from './newsMessages.js'
 import { RELAY_METHODS, type AnswerMessage, type EndMessage } from './relayMessages.js'
 import { SentRoutes } from './relayRoutes.js'
 import type { NewsPeer } from './zoneNews.js'
 
-/** A host of the fleet takes a connection within a round trip, past the link in tens of milliseconds. */
-const CONNECT_LIMIT_MILLISECONDS = 300
+/** A host accepts a connection within one round trip, which takes tens of milliseconds between regions. */
+const CONNECT_TIMEOUT_MILLISECONDS = 300
 
 /**
- * After a failure the next hosts in order are used, and this one is tried again at such intervals,
- * in the background: else each second some callers would wait for a connection that does not come.
+ * After a failure other hosts are used, and this one is reconnected to at this interval in the background. Otherwise
+ * some callers would wait every second for a connection that can not be opened.
  */
-const PAUSE_MILLISECONDS = 1000
+const RECONNECT_INTERVAL_MILLISECONDS = 1000
 
-/** With answers owed and no byte for this long, the host is asked whether it lives, ... */
-const QUIET_MILLISECONDS = 250
-/** ... and if it does not say so within this, its connection is given up. */
-const PING_LIMIT_MILLISECONDS = 250
+/** The host is pinged when answers are pending and no byte has been received for this long. */
+const PING_AFTER_MILLISECONDS = 250
+/** The connection is closed if a ping is not answered within this time. */
+const PING_TIMEOUT_MILLISECONDS = 250
 
-/** The other host answers by the deadline; this is for the way back. */
-const ANSWER_RESERVE_MILLISECONDS = 60
+/** Time for the answer to travel back: the other host answers at the deadline at the latest. */
+const ANSWER_MARGIN_MILLISECONDS = 60
 
 export type RelayOutcome =
   | { readonly kind: 'answered'; readonly message: Extract<AnswerMessage, { kind: 'answered' }> }
-  /** Nothing was done there. */
+  /** Nothing was run there. */
   | { readonly kind: 'notSent' }
   | { readonly kind: 'lost' }
   | { readonly kind: 'overdue' }
@@ -42,17 +42,17 @@
   readonly #context: HostContext
   readonly #address: HostAddress
   #connection: JsonRpcConnection | null = null
-  /** Those that the other end of the connection knows. */
+  /** The routes that the other end of the connection knows. */
   #routes = new SentRoutes()
   #opening: Promise<JsonRpcConnection | null> | null = null
-  /** When to try again after a failure; null while nothing speaks against it. */
+  /** When to reconnect after a failure; null if the last attempt did not fail. */
   #retryAt: Milliseconds | null = null
-  /** Since when it stops, as it said; until its connection ends it still runs what it was handed. */
+  /** When it notified that it is stopping. Until its connection closes it still runs what it has accepted. */
   #leavingSince: Milliseconds | null = null
-  #owed = 0
-  #isAsking = false
-  #heardBytes = 0
-  #heardAt = 0
+  #pendingCalls = 0
+  #isPinging = false
+  #receivedBytes = 0
+  #lastReceivedAt = 0
 
   constructor(context: HostContext, name: string, address: HostAddress) {
     this.#context = context
@@ -61,19 +61,19 @@
   }
 
   get isOwedAnswers(): boolean {
-    return this.#owed > 0
+    return this.#pendingCalls > 0
   }
 
   isAt({ host, port }: HostAddress): boolean {
     return this.#address.host === host && this.#address.port === port
   }
 
-  /** Whether new work may be handed to it. */
+  /** Whether new requests may be sent to it. */
   get isUp(): boolean {
     return this.#retryAt === null && this.#leavingSince === null
   }
 
-  /** Whether it could not be reached when it was last tried. */
+  /** Whether the last attempt to reach it failed. */
   get isLost(): boolean {
     return this.#retryAt !== null
   }
@@ -86,11 +86,11 @@
     const connection = await this.#connect()
     if (connection === null) return { kind: 'notSent' }
     const { clock } = this.#context
-    if (this.#owed === 0) this.#heardAt = clock.now()
-    this.#owed += 1
-    const limit = Math.max(1, deadline - clock.now() + ANSWER_RESERVE_MILLISECONDS)
+    if (this.#pendingCalls === 0) this.#lastReceivedAt = clock.now()
+    this.#pendingCalls += 1
+    const limit = Math.max(1, deadline - clock.now() + ANSWER_MARGIN_MILLISECONDS)
     const answer = await connection.request<AnswerMessage>(method, params(this.#routes), limit)
-    this.#owed -= 1
+    this.#pendingCalls -= 1
     if (answer.isOk()) {
       const message = answer.value
       return message.kind === 'declined' ? { kind: 'notSent' } : { kind: 'answered', message }
@@ -100,29 +100,25 @@
   }
 
   askNews(question: NewsQuestion, limit: number): Promise<NewsAnswer | null> {
-    return this.#question(RELAY_METHODS.news, question, limit)
+    return this.#request(RELAY_METHODS.news, question, limit)
   }
 
-  askGrant(question: GrantQuestion, limit: number): Promise<GrantAnswer | null> {
-    return this.#question(RELAY_METHODS.grant, question, limit)
+  askGrant(question: GrantRequest, limit: number): Promise<GrantAnswer | null> {
+    return this.#request(RELAY_METHODS.grant, question, limit)
   }
 
   /**
-   * Null without an answer in time. Not counted as owed: no statement runs there, and the question has a time limit
-   * of its own.
+   * Returns null if there is no answer in time. Not counted as a pending call: no statement runs there, and the request
+   * has a timeout of its own.
    */
-  async #question<Answer>(
-    method: string,
-    question: unknown,
-    limit: number,
-  ): Promise<Answer | null> {
+  async #request<Answer>(method: string, question: unknown, limit: number): Promise<Answer | null> {
     const connection = await this.#connect()
     if (connection === null) return null
     const answer = await connection.request<Answer>(method, question, limit)
     return answer.unwrapOr(null)
   }
 
-  /** Ends a transaction there; without the connection it ends by itself. */
+  /** Ends a transaction there. Without a connection nothing is sent: the other host ends it when the connection closes. */
   end(transaction: number): void {
     const message: EndMessage = { transaction }
     if (this.#connection?.closed === false) {
@@ -131,26 +127,26 @@
   }
 
   tick(now: Milliseconds): void {
-    this.#noteItsEnd(now)
+    this.#checkIfStopped(now)
     if (this.#retryAt !== null && now >= this.#retryAt) void this.#connect()
     const connection = this.#connection
-    if (connection === null || this.#owed === 0 || this.#isAsking) return
+    if (connection === null || this.#pendingCalls === 0 || this.#isPinging) return
     const { received } = connection.traffic
-    if (received !== this.#heardBytes) {
-      this.#heardBytes = received
-      this.#heardAt = now
-    } else if (now - this.#heardAt > QUIET_MILLISECONDS) void this.#ask(connection)
+    if (received !== this.#receivedBytes) {
+      this.#receivedBytes = received
+      this.#lastReceivedAt = now
+    } else if (now - this.#lastReceivedAt > PING_AFTER_MILLISECONDS) void this.#ping(connection)
   }
 
   close(): void {
     this.#connection?.close()
   }
 
-  async #ask(connection: JsonRpcConnection): Promise<void> {
-    this.#isAsking = true
-    const answer = await connection.request(RELAY_METHODS.ping, {}, PING_LIMIT_MILLISECONDS)
-    this.#isAsking = false
-    this.#heardAt = this.#context.clock.now()
+  async #ping(connection: JsonRpcConnection): Promise<void> {
+    this.#isPinging = true
+    const answer = await connection.request(RELAY_METHODS.ping, {}, PING_TIMEOUT_MILLISECONDS)
+    this.#isPinging = false
+    this.#lastReceivedAt = this.#context.clock.now()
     if (answer.isOk()) return
     this.#failed('silent')
     connection.close()
@@ -168,7 +164,7 @@
       this.#leavingSince = this.#context.clock.now()
     }
     const handlers = { [RELAY_METHODS.leaving]: leaving }
-    const opened = await openJsonRpc(host, port, handlers, CONNECT_LIMIT_MILLISECONDS)
+    const opened = await openJsonRpc(host, port, handlers, CONNECT_TIMEOUT_MILLISECONDS)
     if (opened.isErr()) {
       this.#failed(opened.error.kind)
       return null
@@ -176,26 +172,27 @@
     this.#connection = opened.value
     this.#routes = new SentRoutes()
     this.#retryAt = null
-    this.#heardBytes = 0
+    this.#receivedBytes = 0
     return opened.value
   }
 
   /**
-   * Once its process has ended the next one may take its place. One that lost power while it stopped never
-   * closes its connection, and would not be used again; no process outlives its grace.
+   * Schedules a reconnection once the stopping process has ended, since a new one may run at the same address. A host
+   * that lost power while stopping never closes its connection, so the process also counts as ended after its grace
+   * period, which none outlives.
    */
-  #noteItsEnd(now: Milliseconds): void {
+  #checkIfStopped(now: Milliseconds): void {
     if (this.#leavingSince === null || this.#connection === null) return
     const { graceMilliseconds } = this.#context.settings
     const isOver = now >= addMilliseconds(this.#leavingSince, graceMilliseconds)
     if (!this.#connection.closed && !isOver) return
     this.#connection.close()
     this.#leavingSince = null
-    this.#retryAt = addMilliseconds(now, PAUSE_MILLISECONDS)
+    this.#retryAt = addMilliseconds(now, RECONNECT_INTERVAL_MILLISECONDS)
   }
 
   #failed(why: string): void {
-    this.#retryAt = addMilliseconds(this.#context.clock.now(), PAUSE_MILLISECONDS)
+    this.#retryAt = addMilliseconds(this.#context.clock.now(), RECONNECT_INTERVAL_MILLISECONDS)
     this.#context.log.write('relay_lost', { host: this.name, why })
   }
 }
--- a/packages/host/src/relayRoutes.ts
+++ b/packages/host/src/relayRoutes.ts
@@ -1,6 +1,6 @@
 /**
- * Routes in messages between hosts. A route is most of a short statement's message, and a connection carries the same
- * few again and again, so each is sent whole once a connection and by its number from then on.
+ * Encoding of routes in messages between hosts. A route is most of a short statement's message, and a connection carries
+ * the same few repeatedly, so each route is sent in full once per connection and referred to by its number afterwards.
  *
  * @internal
  */
@@ -8,37 +8,38 @@
 
 export interface RouteMessage {
   readonly number: number
-  /** Absent once the other side knows the number. */
+  /** Absent once the receiver knows the number. */
   readonly route?: Route
 }
 
-/** Routes that one side keeps. The hearing side keeps more, so that it knows every number that is still in use. */
-const MOST_SENT = 1024
-const MOST_HEARD = 2 * MOST_SENT
+/** Routes that each side keeps. The receiver keeps more, so that it knows every number that is still in use. */
+const MAXIMUM_SENT_ROUTES = 1024
+const MAXIMUM_RECEIVED_ROUTES = 2 * MAXIMUM_SENT_ROUTES
 
 export class SentRoutes {
   readonly #numbers = new Map<Route, number>()
-  #last = 0
+  #lastNumber = 0
 
   write(route: Route): RouteMessage {
-    const known = this.#numbers.get(route)
-    if (known !== undefined) return { number: known }
-    if (this.#numbers.size >= MOST_SENT) this.#numbers.clear()
-    this.#last += 1
-    this.#numbers.set(route, this.#last)
-    return { number: this.#last, route }
+    const number = this.#numbers.get(route)
+    if (number !== undefined) return { number }
+    if (this.#numbers.size >= MAXIMUM_SENT_ROUTES) this.#numbers.clear()
+    this.#lastNumber += 1
+    this.#numbers.set(route, this.#lastNumber)
+    return { number: this.#lastNumber, route }
   }
 }
 
-export class HeardRoutes {
+export class ReceivedRoutes {
   readonly #routes = new Map<number, Route>()
 
-  /** Null for a number that this side never heard of. */
+  /** Null for an unknown number. */
   read({ number, route }: RouteMessage): Route | null {
     if (route === undefined) return this.#routes.get(number) ?? null
     this.#routes.set(number, route)
     const [oldest] = this.#routes.keys()
-    if (this.#routes.size > MOST_HEARD && oldest !== undefined) this.#routes.delete(oldest)
+    if (this.#routes.size > MAXIMUM_RECEIVED_ROUTES && oldest !== undefined)
+      this.#routes.delete(oldest)
     return route
   }
 }
--- a/packages/host/src/relayServer.ts
+++ b/packages/host/src/relayServer.ts
@@ -1,13 +1,14 @@
 /**
- * Runs statements for other entry hosts. A transaction belongs to the connection over which it came:
- * when that is gone, so is whoever could end it, and it is rolled back.
+ * Server for other entry hosts: runs statements on their behalf, and answers their requests for grants and store
+ * changes. A transaction belongs to the connection over which it was begun: when that closes, no one is left who could
+ * end the transaction, and it is rolled back.
  *
  * @internal
  */
 import { createServer, type Server, type Socket } from 'node:net'
 import { JsonRpcConnection } from '@nutmegcourse/transport'
 import type { HostContext } from './hostContext.js'
-import type { GrantQuestion, LimitDesk } from './limitDesk.js'
+import type { GrantRequest, LimitDesk } from './limitDesk.js'
 import type { NewsDesk } from './newsDesk.js'
 import type { NewsQuestion } from './newsMessages.js'
 import {
@@ -19,26 +20,26 @@
   type EndMessage,
   type RequestMessage,
 } from './relayMessages.js'
-import { HeardRoutes } from './relayRoutes.js'
+import { ReceivedRoutes } from './relayRoutes.js'
 import type { ServiceDesk } from './serviceDesk.js'
 import {
   needsPrimary,
-  type BegunTransaction,
+  type TransactionStep,
   type LocalTransaction,
   type StatementRequest,
 } from './statements.js'
 import type { StatementRunner } from './statementRunner.js'
 
-/** Beyond the configured time that a transaction may rest: its own host ends it before that. */
-const IDLE_RESERVE_MILLISECONDS = 1000
+/** Added to the idle timeout of transactions, so that the host of the caller ends an idle transaction first. */
+const IDLE_MARGIN_MILLISECONDS = 1000
 
 export interface RelayDesks {
-  /** The desk of a service, ready to serve; null when it is unknown or this host stops. */
+  /** The service, made active on this host; null if it is unknown or this host is stopping. */
   serve(service: string): ServiceDesk | null
   readonly idleTransactionMilliseconds: number
-  /** The store's changes, for a host of the zone. */
+  /** Answers requests of hosts of the zone for changes of the store. */
   readonly news: NewsDesk
-  /** The parts of customers' limits that this host holds. */
+  /** Grants operations from the parts of customers' limits that this host holds. */
   readonly limits: LimitDesk
 }
 
@@ -61,7 +62,7 @@
     this.#desks = desks
   }
 
-  /** Statements that run, and transactions that are open, for other hosts. */
+  /** Whether statements run or transactions are open on behalf of other hosts. */
   get isWorking(): boolean {
     return [...this.#sessions].some(session => session.isWorking)
   }
@@ -76,13 +77,13 @@
     this.#server.listen({ host, port })
   }
 
-  /** Tells other hosts to hand nothing more to this one. What they sent before is declined unrun. */
+  /** Notifies other hosts to send no new requests. Requests that are already on the way are declined without being run. */
   leave(): void {
     this.#isLeaving = true
     for (const session of this.#sessions) session.leave()
   }
 
-  /** Ends the transactions that are open for other hosts as soon as no statement runs in them. */
+  /** Ends the transactions that are open on behalf of other hosts as soon as no statement runs in them. */
   endTransactions(): void {
     for (const session of this.#sessions) session.endTransactions()
   }
@@ -102,13 +103,13 @@
   }
 }
 
-/** One other host's connection, and the transactions that it has open here. */
+/** The connection of one other host, and the transactions that it has open here. */
 class RelaySession {
   readonly #context: HostContext
   readonly #runner: StatementRunner
   readonly #desks: RelayDesks
   readonly #connection: JsonRpcConnection
-  readonly #routes = new HeardRoutes()
+  readonly #routes = new ReceivedRoutes()
   readonly #held = new Map<number, HeldTransaction>()
   #running = 0
   #endsTransactions = false
@@ -121,7 +122,7 @@
     this.#connection = new JsonRpcConnection(socket, {
       [RELAY_METHODS.ping]: () => true,
       [RELAY_METHODS.news]: params => this.#desks.news.answer(params as NewsQuestion),
-      [RELAY_METHODS.grant]: params => this.#desks.limits.answer(params as GrantQuestion),
+      [RELAY_METHODS.grant]: params => this.#desks.limits.answer(params as GrantRequest),
       [RELAY_METHODS.single]: params => this.#single(params as RequestMessage),
       [RELAY_METHODS.begin]: params => this.#begin(params as BeginMessage),
       [RELAY_METHODS.continue]: params => this.#continue(params as ContinueMessage),
@@ -159,7 +160,7 @@
   async #single(message: RequestMessage): Promise<AnswerMessage> {
     const request = this.#read(message)
     if (request === null) return { kind: 'declined' }
-    if (this.#isOutOfReach(request, !request.isWrite)) return { kind: 'declined' }
+    if (this.#isPrimaryOutOfReach(request, !request.isWrite)) return { kind: 'declined' }
     this.#running += 1
     const result = await this.#runner.single(request)
     this.#running -= 1
@@ -169,7 +170,7 @@
   async #begin(message: BeginMessage): Promise<AnswerMessage> {
     const request = this.#read(message.request)
     if (request === null) return { kind: 'declined' }
-    if (this.#isOutOfReach(request, message.readOnly)) return { kind: 'declined' }
+    if (this.#isPrimaryOutOfReach(request, message.readOnly)) return { kind: 'declined' }
     this.#running += 1
     const begun = await this.#runner.begin(request, message.readOnly)
     this.#running -= 1
@@ -179,20 +180,20 @@
 
   async #continue(message: ContinueMessage): Promise<AnswerMessage> {
     const route = this.#routes.read(message.request.route)
-    const known = this.#held.get(message.transaction)
-    if (known === undefined || route === null) return { kind: 'declined' }
-    if (known.idleTimer !== null) clearTimeout(known.idleTimer)
-    // While a statement runs, only what follows it here may end the transaction.
+    const held = this.#held.get(message.transaction)
+    if (held === undefined || route === null) return { kind: 'declined' }
+    if (held.idleTimer !== null) clearTimeout(held.idleTimer)
+    // While a statement runs, only the code after it may end the transaction.
     this.#held.delete(message.transaction)
-    const { desk } = known.transaction
+    const { desk } = held.transaction
     const request = readRequest(message.request, route, desk, this.#context.clock.now())
     this.#running += 1
-    const gone = await this.#runner.continue(request, known.transaction)
+    const continued = await this.#runner.continue(request, held.transaction)
     this.#running -= 1
-    return answerOf(request, gone, this.#hold(message.transaction, gone.transaction))
+    return answerOf(request, continued, this.#hold(message.transaction, continued.transaction))
   }
 
-  /** Null when this host can not serve it. */
+  /** Null if this host can not serve the request. */
   #read(message: RequestMessage): StatementRequest | null {
     const route = this.#routes.read(message.route)
     const desk = route === null ? null : this.#desks.serve(route.service)
@@ -200,16 +201,17 @@
     return readRequest(message, route, desk, this.#context.clock.now())
   }
 
-  /** The other host asks the next one then, which may reach the primary. */
-  #isOutOfReach(request: StatementRequest, readOnly: boolean): boolean {
+  /** Whether to decline a request for the primary, so that the other host tries another owner that may reach it. */
+  #isPrimaryOutOfReach(request: StatementRequest, readOnly: boolean): boolean {
     const { desk } = request
     if (!desk.isOwned || !needsPrimary(request, readOnly)) return false
     return !desk.reachesPrimary(this.#context.clock.now())
   }
 
   /**
-   * Null when there is nothing to hold, or nobody left to end it. One that this host ends keeps its
-   * number: what is asked in it next is declined, and the caller hears that nothing is kept.
+   * Keeps an open transaction and returns its identifier; null if there is none, or if the connection has closed. A
+   * transaction that this host ends because it is stopping keeps its identifier: its next statement is declined, which
+   * the caller receives as an aborted transaction.
    */
   #hold(id: number, transaction: LocalTransaction | null): number | null {
     if (transaction === null) return null
@@ -221,7 +223,7 @@
       this.#runner.endTransaction(transaction, 'open')
       return null
     }
-    const limit = this.#desks.idleTransactionMilliseconds + IDLE_RESERVE_MILLISECONDS
+    const limit = this.#desks.idleTransactionMilliseconds + IDLE_MARGIN_MILLISECONDS
     const end = () => {
       this.#end(id)
     }
@@ -231,17 +233,17 @@
   }
 
   #end(id: number): void {
-    const known = this.#held.get(id)
-    if (known === undefined) return
+    const held = this.#held.get(id)
+    if (held === undefined) return
     this.#held.delete(id)
-    if (known.idleTimer !== null) clearTimeout(known.idleTimer)
-    this.#runner.endTransaction(known.transaction, 'open')
+    if (held.idleTimer !== null) clearTimeout(held.idleTimer)
+    this.#runner.endTransaction(held.transaction, 'open')
   }
 }
 
 function answerOf(
   request: StatementRequest,
-  { result }: BegunTransaction<LocalTransaction>,
+  { result }: TransactionStep<LocalTransaction>,
   transaction: number | null,
 ): AnswerMessage {
   return { kind: 'answered', ...result, own: request.session.ownPosition, transaction }
--- a/packages/host/src/relayingRunner.ts
+++ b/packages/host/src/relayingRunner.ts
@@ -1,7 +1,7 @@
 /**
- * Runs statements here where this host holds connections to the service, and at an owner where it
- * does not. What was promised to a caller stays true across the hop: a statement that reached the
- * owner and whose answer is lost is told as one whose connection was lost.
+ * Runs statements on this host if it holds connections to the service, and relays them to an owner otherwise. The
+ * guarantees to callers hold across the hop: if a statement was sent to the owner and its answer is lost, the outcome is
+ * that of a lost backend connection.
  *
  * @internal
  */
@@ -16,7 +16,7 @@
 import {
   needsPrimary,
   refused,
-  type BegunTransaction,
+  type TransactionStep,
   type RelayedTransaction,
   type Runner,
   type RunningTransaction,
@@ -25,16 +25,16 @@
 } from './statements.js'
 import type { StatementRunner } from './statementRunner.js'
 
-/** Whom to ask for a service. */
+/** Chooses the owners to which the statements of a service are relayed. */
 export interface OwnerBook {
   /**
-   * Other hosts in the order in which to ask them; null when this host serves by itself.
-   * `atPrimary`: only the primary can run it.
+   * The other hosts in the order in which they are tried; null if this host serves the request itself.
+   * `atPrimary`: only the primary can run the request.
    */
   peersFor(desk: ServiceDesk, customer: CustomerName | null, atPrimary: boolean): RelayPeer[] | null
 }
 
-interface Relayed {
+interface RelayedCall {
   readonly outcome: RelayOutcome
   readonly peer: RelayPeer | null
 }
@@ -59,15 +59,15 @@
     const place: StatementPlace = request.isWrite ? 'singleWrite' : 'singleRead'
     const message = (routes: SentRoutes): unknown =>
       writeRequest(request, routes, this.#context.clock.now())
-    const { outcome } = await this.#ask(request, peers, place, RELAY_METHODS.single, message)
-    if (outcome.kind === 'answered') return this.#take(request, outcome.message)
+    const { outcome } = await this.#callOwners(request, peers, place, RELAY_METHODS.single, message)
+    if (outcome.kind === 'answered') return this.#resultOf(request, outcome.message)
     if (this.#mayRunHere(request, place, outcome)) {
-      return this.#inPlaceOfOwners(request).single(request)
+      return this.#standInForOwners(request).single(request)
     }
-    return this.#fail(request, place, outcome)
+    return this.#refusalFor(request, place, outcome)
   }
 
-  async begin(request: StatementRequest, readOnly: boolean): Promise<BegunTransaction> {
+  async begin(request: StatementRequest, readOnly: boolean): Promise<TransactionStep> {
     const atPrimary = needsPrimary(request, readOnly)
     const peers = this.#owners.peersFor(request.desk, request.customer, atPrimary)
     if (peers === null) return this.#local.begin(request, readOnly)
@@ -77,20 +77,26 @@
       request: writeRequest(request, routes, this.#context.clock.now()),
       readOnly,
     })
-    const { outcome, peer } = await this.#ask(request, peers, place, RELAY_METHODS.begin, message)
+    const { outcome, peer } = await this.#callOwners(
+      request,
+      peers,
+      place,
+      RELAY_METHODS.begin,
+      message,
+    )
     if (outcome.kind === 'answered' && peer !== null) {
-      return this.#takeTransaction(request, peer, outcome.message)
+      return this.#stepOf(request, peer, outcome.message)
     }
     if (this.#mayRunHere(request, place, outcome)) {
-      return this.#inPlaceOfOwners(request).begin(request, readOnly)
+      return this.#standInForOwners(request).begin(request, readOnly)
     }
-    return { result: this.#fail(request, place, outcome), transaction: null }
+    return { result: this.#refusalFor(request, place, outcome), transaction: null }
   }
 
   async continue(
     request: StatementRequest,
     transaction: RunningTransaction,
-  ): Promise<BegunTransaction> {
+  ): Promise<TransactionStep> {
     if (transaction.kind === 'local') return this.#local.continue(request, transaction)
     const { peer, id } = transaction
     const params = (routes: SentRoutes): unknown => ({
@@ -98,11 +104,11 @@
       transaction: id,
     })
     const outcome = await peer.call(RELAY_METHODS.continue, params, request.deadline)
-    if (outcome.kind === 'answered') return this.#takeTransaction(request, peer, outcome.message)
+    if (outcome.kind === 'answered') return this.#stepOf(request, peer, outcome.message)
     peer.end(id)
     const isCommit = request.statement.body.kind === 'commit'
     const place: StatementPlace = isCommit ? 'commit' : 'withinTransaction'
-    return { result: this.#fail(request, place, outcome), transaction: null }
+    return { result: this.#refusalFor(request, place, outcome), transaction: null }
   }
 
   endTransaction(transaction: RunningTransaction, status: SessionStatus | null): void {
@@ -110,28 +116,28 @@
     else transaction.peer.end(transaction.id)
   }
 
-  /** Whether running it once more, at this host, can do no harm. */
+  /** Whether the statement can be run again safely, on this host. */
   #mayRunHere(request: StatementRequest, place: StatementPlace, outcome: RelayOutcome): boolean {
-    return !this.#isOver(request) && fateOf(place, mishapOf(outcome), false).kind === 'retry'
+    return !this.#isExpired(request) && fateOf(place, mishapOf(outcome), false).kind === 'retry'
   }
 
-  /** None of the owners took it: this host keeps what it needs to serve by itself for a while. */
-  #inPlaceOfOwners({ desk }: StatementRequest): StatementRunner {
+  /** Since no owner accepted the request, makes this host active for the service and returns its local runner. */
+  #standInForOwners({ desk }: StatementRequest): StatementRunner {
     if (!desk.isOwned) desk.standIn(this.#context.clock.now())
     return this.#local
   }
 
-  /** Asks one owner after the other, as long as asking again can do no harm. */
-  async #ask(
+  /** Calls one owner after the other, as long as a retry is safe. */
+  async #callOwners(
     request: StatementRequest,
     peers: readonly RelayPeer[],
     place: StatementPlace,
     method: string,
     message: (routes: SentRoutes) => unknown,
-  ): Promise<Relayed> {
-    let last: Relayed = { outcome: { kind: 'notSent' }, peer: null }
+  ): Promise<RelayedCall> {
+    let last: RelayedCall = { outcome: { kind: 'notSent' }, peer: null }
     for (const peer of peers) {
-      if (this.#isOver(request)) break
+      if (this.#isExpired(request)) break
       if (!peer.isUp) continue
       const outcome = await peer.call(method, message, request.deadline)
       last = { outcome, peer }
@@ -150,19 +156,15 @@
     return last
   }
 
-  #take(request: StatementRequest, message: Answered): StatementResult {
+  #resultOf(request: StatementRequest, message: Answered): StatementResult {
     request.session.ownPosition = readPosition(message.own)
     const position = readPosition(message.position)
     const { answer, reason } = message
     return reason === undefined ? { answer, position } : { answer, position, reason }
   }
 
-  #takeTransaction(
-    request: StatementRequest,
-    peer: RelayPeer,
-    message: Answered,
-  ): BegunTransaction {
-    const result = this.#take(request, message)
+  #stepOf(request: StatementRequest, peer: RelayPeer, message: Answered): TransactionStep {
+    const result = this.#resultOf(request, message)
     if (message.transaction === null) return { result, transaction: null }
     const transaction: RelayedTransaction = {
       kind: 'relayed',
@@ -173,13 +175,17 @@
     return { result, transaction }
   }
 
-  #fail(request: StatementRequest, place: StatementPlace, outcome: RelayOutcome): StatementResult {
+  #refusalFor(
+    request: StatementRequest,
+    place: StatementPlace,
+    outcome: RelayOutcome,
+  ): StatementResult {
     const mishap = mishapOf(outcome)
     const fate = fateOf(place, mishap, false)
     return refused(request, fate.kind === 'answer' ? fate.refusal : fate.otherwise, mishap)
   }
 
-  #isOver(request: StatementRequest): boolean {
+  #isExpired(request: StatementRequest): boolean {
     return this.#context.clock.now() >= request.deadline
   }
 }
--- a/packages/host/src/routeLookup.ts
+++ b/packages/host/src/routeLookup.ts
@@ -1,5 +1,5 @@
 /**
- * What a session has to know of the host that serves it.
+ * The routes, identities, limits and admission state of a host that its caller sessions need.
  *
  * @internal
  */
@@ -9,32 +9,32 @@
 import type { SessionIntake } from './plannedStop.js'
 import type { ServiceDesk } from './serviceDesk.js'
 
-/** Where a database's callers are served. */
+/** The route of a database, and the service behind it. */
 export interface RoutePlace {
   readonly route: Route
   readonly desk: ServiceDesk
 }
 
-/** In whose name a caller's statements run. */
+/** The customer on whose behalf a caller's statements run. */
 export type CallerIdentity =
-  /** In nobody's: customers are not told apart, or the route serves everyone. */
+  /** No customer: customers are not distinguished, or the route is public. */
   | { readonly kind: 'anyone' }
   | { readonly kind: 'customer'; readonly customer: CustomerName }
-  /** The key belongs to no customer, or no longer. */
+  /** The key belongs to no customer, or no longer does. */
   | { readonly kind: 'unknown' }
-  /** This host cannot have heard whether the key was taken away. */
+  /** This host's information is too old to rule out that the key has been revoked. */
   | { readonly kind: 'unconfirmed' }
 
 export interface RouteLookup {
-  /** Null when no route has the name. */
+  /** Null if the database has no route. */
   find(database: string): RoutePlace | null
   identify(route: Route, key: KeyDigest): CallerIdentity
-  /** Whether one more operation of the customer keeps to its limit. */
+  /** Whether one more operation of the customer is within its limit. */
   admitOperation(customer: CustomerName): Promise<Admission>
   readonly intake: SessionIntake
-  /** False until the first configuration is known. */
+  /** Whether a configuration has been received. */
   readonly isKnown: boolean
   readonly idleTransactionMilliseconds: number
-  /** Resolves once a configuration is known or `span` milliseconds have passed. */
+  /** Resolves once a configuration has been received or `span` milliseconds have passed. */
   whenKnown(span: number): Promise<void>
 }
--- a/packages/host/src/serverAccess.ts
+++ b/packages/host/src/serverAccess.ts
@@ -1,6 +1,6 @@
 /**
- * How statements get to backend servers: which one, over which connection, what a failed try teaches,
- * and how long to wait before the next.
+ * Access of statements to backend servers: chooses the server, acquires a connection, learns from failed attempts, and
+ * backs off before the next one.
  *
  * @internal
  */
@@ -19,41 +19,40 @@
 import type { StatementRequest } from './statements.js'
 import { earlier, rest } from './waiting.js'
 
-/** Before a server that was full is asked again; about what one statement takes there. */
-const BUSY_PAUSE_MILLISECONDS = 20
+/** Delay before a busy or full server is tried again; about the duration of one statement. */
+const BUSY_RETRY_MILLISECONDS = 20
 
-/** News that a request waits for may be missed; then it looks again after this long. */
-const LOOK_AGAIN_MILLISECONDS = 100
+/** A waiting request rechecks after this long, in case it missed the change it waits for. */
+const RECHECK_MILLISECONDS = 100
 
 /**
- * Work that would wait longer for a connection than this part of its latency target is refused at
- * once. The rest of the target is for the way, for running, and for the other statements of its
- * operation; a caller that hears at once can still be served in time elsewhere. On days on which
- * one primary does the work of three servers, 0.954 of all worth is served at a quarter, 0.948 at
- * 0.4, 0.942 at 0.6 (means of four days each).
+ * A request whose forecast wait for a connection exceeds this share of its latency target is refused immediately. The
+ * rest of the target is left for the network, execution and the other statements of the operation, and a caller that is
+ * refused early can still be served in time elsewhere. With one primary doing the work of three servers, 0.954 of the
+ * total value is served at 0.25, 0.948 at 0.4 and 0.942 at 0.6 (means of four days each).
  */
-const PATIENCE_SHARE = 0.25
+const MAXIMUM_WAIT_SHARE = 0.25
 
 /**
- * However slow a server seems, a statement may begin in the first half of its time: an estimate may
- * be wrong.
+ * Upper limit of the share of a statement's time that is reserved for its execution. The latency estimate may be wrong,
+ * so a statement may start during the first half of its time however slow the server seems.
  */
-const LONGEST_RUN_SHARE = 0.5
+const MAXIMUM_RUN_SHARE = 0.5
 
-/** A read waits this long for a connection before it looks at other servers. */
+/** How long a read waits for a connection before it considers other servers. */
 export const READ_ACQUIRE_MILLISECONDS = 200
 
-/** What came of asking for a connection. */
+/** The result of requesting a connection. */
 export type Access =
   | { readonly kind: 'connected'; readonly link: PooledLink }
-  /** None, after a moment's wait; the request looks again at what there is. */
+  /** No connection, after a short delay; the request may try again. */
   | { readonly kind: 'none' }
-  /** The statement could not be answered any more within its time. */
+  /** The statement can no longer be answered by its deadline. */
   | { readonly kind: 'tooLate' }
   | { readonly kind: 'overloaded'; readonly waitMilliseconds: number }
 
-/** A try that failed, and where. */
-export interface ServerMishap {
+/** A failed attempt, and the server on which it ran. */
+export interface FailedAttempt {
   readonly outcome: Extract<AttemptOutcome, { kind: 'mishap' }>
   readonly server: BackendServerState
 }
@@ -65,17 +64,17 @@
     this.#context = context
   }
 
-  /** The primary, if it may be given work; else null after some news, or a moment without. */
+  /** The primary, if it may be given work; otherwise null, after a change or a short delay. */
   async awaitPrimary(request: StatementRequest): Promise<BackendServerState | null> {
     const primary = request.desk.writablePrimary(this.#context.clock.now())
     if (primary !== null) return primary
-    await this.#awaitNews(request)
+    await this.#awaitChange(request)
     return null
   }
 
   /**
-   * The best server for a read or a reading transaction; else null after some news, and all may be
-   * tried again.
+   * The best server for a read or a read-only transaction. If there is none, waits for a change or a short delay,
+   * clears `excluded` and returns null.
    */
   async awaitReader(
     request: StatementRequest,
@@ -89,70 +88,68 @@
       need.kind === 'unknown' ? null : desk.chooseReader(need.position, excluded, now, customer)
     if (reader !== null) return reader
     excluded.clear()
-    await this.#awaitNews(request)
+    await this.#awaitChange(request)
     return null
   }
 
-  /** A connection to the server, or why there is none by `limit`. */
+  /** Acquires a connection to the server by `limit`, or tells why there is none. */
   async acquire(
     request: StatementRequest,
     server: BackendServerState,
     limit: Milliseconds,
   ): Promise<Access> {
     const { priority, latencyTargetMilliseconds } = request.route
-    const lastStart = this.#lastStart(request, server)
-    const askedAt = this.#context.clock.now()
+    const latestStart = this.#latestStart(request, server)
+    const startedAt = this.#context.clock.now()
     const acquired = await server.pool.acquire(request.session.values, {
       priority,
-      deadline: earlier(limit, lastStart),
-      patienceMilliseconds: latencyTargetMilliseconds * PATIENCE_SHARE,
+      deadline: earlier(limit, latestStart),
+      maximumWaitMilliseconds: latencyTargetMilliseconds * MAXIMUM_WAIT_SHARE,
       use: { kind: 'customer', customer: request.customer },
     })
-    request.timing.connectionMilliseconds += this.#context.clock.now() - askedAt
+    request.timing.connectionMilliseconds += this.#context.clock.now() - startedAt
     if ('link' in acquired) return { kind: 'connected', link: acquired.link }
     if (acquired.failure === 'overloaded') {
       return { kind: 'overloaded', waitMilliseconds: this.jitter(acquired.waitMilliseconds) }
     }
-    if (this.#context.clock.now() >= lastStart) return { kind: 'tooLate' }
+    if (this.#context.clock.now() >= latestStart) return { kind: 'tooLate' }
     await this.#afterNoConnection(request, acquired.failure)
     return { kind: 'none' }
   }
 
   /**
-   * Until when the statement may begin at the server. One that begins later runs out of time there:
-   * its slot is wasted, and its connection closed and made anew (an overloaded primary lost 0.8 of
-   * its 3 slots so).
+   * The latest time at which the statement may start at the server. A statement that starts later times out there: its
+   * slot is wasted, and its connection is closed and reopened (an overloaded primary lost 0.8 of its 3 slots this way).
    */
-  #lastStart(request: StatementRequest, server: BackendServerState): Milliseconds {
+  #latestStart(request: StatementRequest, server: BackendServerState): Milliseconds {
     const { arrivedAt, deadline } = request
     const usual = server.latency.at(this.#context.clock.now())
-    return milliseconds(deadline - Math.min(usual, (deadline - arrivedAt) * LONGEST_RUN_SHARE))
+    return milliseconds(deadline - Math.min(usual, (deadline - arrivedAt) * MAXIMUM_RUN_SHARE))
   }
 
   async #afterNoConnection(request: StatementRequest, failure: AcquireFailure): Promise<void> {
     if (failure === 'unreachable' || failure === 'full') {
-      await request.desk.changed.wait(this.jitter(BUSY_PAUSE_MILLISECONDS))
+      await request.desk.changed.wait(this.jitter(BUSY_RETRY_MILLISECONDS))
     }
   }
 
   /**
-   * The server had no connection for this read. It is left out only where another one could serve,
-   * which is told; else the read keeps its place there, by its deadline. Reads that left out a busy
-   * primary while both replicas were seconds behind asked those in vain, 370 times a second, until
-   * their time was over.
+   * Excludes a server that had no connection for this read, but only if another one could serve it; returns whether it
+   * did. Otherwise the read tries the same server again until its deadline. Reads that excluded a busy primary while
+   * both replicas were seconds behind queried these unsuccessfully, 370 times a second, until they timed out.
    */
-  passOver(
+  excludeIfReplaceable(
     request: StatementRequest,
     server: BackendServerState,
     excluded: Set<BackendServerId>,
   ): boolean {
-    if (this.otherReader(request, server, excluded) === null) return false
+    if (this.alternativeReader(request, server, excluded) === null) return false
     excluded.add(server.entry.server)
     return true
   }
 
-  /** Another server that could serve the read; one that lacks what it needs would be asked in vain. */
-  otherReader(
+  /** Another server that can serve the read now; a replica that is behind would only refuse it. */
+  alternativeReader(
     request: StatementRequest,
     server: BackendServerState,
     excluded: ReadonlySet<BackendServerId>,
@@ -165,8 +162,8 @@
     return desk.chooseReadyReader(need.position, others, now, customer)
   }
 
-  /** Runs a write, or the commit of writes, and notes whether the server confirmed it. */
-  async confirming(
+  /** Runs a write, or a commit of writes, and records whether the server confirmed it. */
+  async trackConfirmation(
     server: BackendServerState,
     run: () => Promise<AttemptOutcome>,
   ): Promise<AttemptOutcome> {
@@ -177,8 +174,8 @@
     return outcome
   }
 
-  /** Leaves the server out of this read's further tries; when none is left, all are tried again. */
-  async leaveOut(
+  /** Excludes the server from further attempts of this read; if none is left, backs off and allows all again. */
+  async exclude(
     request: StatementRequest,
     server: BackendServerState,
     excluded: Set<BackendServerId>,
@@ -188,20 +185,20 @@
     const now = this.#context.clock.now()
     if (desk.chooseReader(null, excluded, now, customer) !== null) return
     excluded.clear()
-    await this.pauseAfter({ kind: 'refused', refusal: 'busy' })
+    await this.backOffAfter({ kind: 'refused', refusal: 'busy' })
   }
 
-  /** A moment before a server that refused is asked again. */
-  async pauseAfter(what: Mishap): Promise<void> {
-    if (what.kind !== 'refused') return
-    await rest(this.jitter(BUSY_PAUSE_MILLISECONDS))
+  /** Waits before a server that refused is tried again; other failures need no delay. */
+  async backOffAfter(mishap: Mishap): Promise<void> {
+    if (mishap.kind !== 'refused') return
+    await rest(this.jitter(BUSY_RETRY_MILLISECONDS))
   }
 
-  /** What a failed try tells of the server. */
-  learn(
+  /** Logs a failed attempt, and records if the server answered that it is not the primary. */
+  recordFailure(
     request: StatementRequest,
     server: BackendServerState,
-    what: Mishap,
+    mishap: Mishap,
     sentAt: Milliseconds,
   ): void {
     const { entry } = server
@@ -209,17 +206,21 @@
       request: request.statement.id,
       route: request.route.name,
       server: entry.server,
-      reason: reasonOf(what),
-      ...what,
+      reason: reasonOf(mishap),
+      ...mishap,
       tookMilliseconds: Math.round(this.#context.clock.now() - sentAt),
     })
-    if (what.kind === 'refused' && what.refusal === 'notPrimary') {
+    if (mishap.kind === 'refused' && mishap.refusal === 'notPrimary') {
       request.desk.refusedToLead(entry.server, sentAt, 'answer')
     }
   }
 
-  /** What an answer tells of how far the server has come. */
-  noteReach(server: BackendServerState, after: LogPosition | null, outcome: AttemptOutcome): void {
+  /** Records what an answer tells about the server's log position. */
+  recordProgress(
+    server: BackendServerState,
+    after: LogPosition | null,
+    outcome: AttemptOutcome,
+  ): void {
     if (outcome.position !== null) server.progress.noteReached(outcome.position)
     if (after === null || outcome.kind === 'answered') return
     if (outcome.mishap.kind === 'refused' && outcome.mishap.refusal === 'behind') {
@@ -227,13 +228,13 @@
     }
   }
 
-  /** Runs a statement outside a transaction and gives its connection back. */
+  /** Runs a statement outside a transaction and returns its connection to the pool. */
   async attemptSingle(
     request: StatementRequest,
     server: BackendServerState,
     link: PooledLink,
     after: LogPosition | null,
-    confirmsLead: boolean,
+    verifiesPrimary: boolean,
   ): Promise<AttemptOutcome> {
     const { clock } = this.#context
     const sentAt = clock.now()
@@ -243,7 +244,7 @@
       statement: request.statement,
       after,
       isInTransaction: false,
-      confirmsLead,
+      verifiesPrimary,
       deadline: request.deadline,
     })
     if (outcome.status === 'idle') server.pool.release(link)
@@ -255,19 +256,19 @@
     return outcome
   }
 
-  async #awaitNews(request: StatementRequest): Promise<void> {
-    const askedAt = this.#context.clock.now()
-    const left = request.deadline - askedAt
-    await request.desk.changed.wait(Math.min(left, LOOK_AGAIN_MILLISECONDS))
-    request.timing.newsMilliseconds += this.#context.clock.now() - askedAt
+  async #awaitChange(request: StatementRequest): Promise<void> {
+    const startedAt = this.#context.clock.now()
+    const left = request.deadline - startedAt
+    await request.desk.changed.wait(Math.min(left, RECHECK_MILLISECONDS))
+    request.timing.newsMilliseconds += this.#context.clock.now() - startedAt
   }
 
-  /** Whether the time of the statement is over. */
-  isOver(request: StatementRequest): boolean {
+  /** Whether the deadline of the statement has passed. */
+  isExpired(request: StatementRequest): boolean {
     return this.#context.clock.now() >= request.deadline
   }
 
-  /** A span that differs from one host to the next, so that they do not come back together. */
+  /** A randomized span, so that hosts do not retry at the same time. */
   jitter(span: number): number {
     return drawnApart(span, this.#context.random)
   }
@@ -279,17 +280,17 @@
   return mishap.kind === 'refused' && mishap.refusal === 'timeout' ? 'unconfirmed' : 'silent'
 }
 
-/** What went wrong, in one word. */
-function reasonOf(what: Mishap): string {
-  switch (what.kind) {
+/** The cause of a failed attempt as one word. */
+function reasonOf(mishap: Mishap): string {
+  switch (mishap.kind) {
     case 'refused':
-      return what.refusal
+      return mishap.refusal
     case 'lost':
-      return what.failure
+      return mishap.failure
     case 'notSent':
     case 'overdue':
     case 'overloaded':
     case 'unconfirmed':
-      return what.kind
+      return mishap.kind
   }
 }
--- a/packages/host/src/serverPool.ts
+++ b/packages/host/src/serverPool.ts
@@ -1,5 +1,5 @@
 /**
- * This host's connections to one backend server, and who waits for one.
+ * Pool of this host's connections to one backend server, with a priority queue of the requests that wait for one.
  *
  * @internal
  */
@@ -21,11 +21,11 @@
   poolLimits,
   type PoolLimits,
 } from '@nutmegcourse/state'
-import { ConnectionOpener, type ConnectionHolder, type OpenFailure } from './connectionOpener.js'
+import { ConnectionOpener, type ConnectionReceiver, type OpenFailure } from './connectionOpener.js'
 import type { HostContext } from './hostContext.js'
 import {
   customerOf,
-  isFor,
+  canUse,
   type AcquireFailure,
   type AcquireTerms,
   type Acquired,
@@ -34,54 +34,54 @@
   type PooledLink,
 } from './pooledLink.js'
 
-/** A connection beyond this host's share goes back when nothing has needed it for so long. */
+/** A connection beyond this host's share is closed after being idle for this long. */
 const SURPLUS_IDLE_MILLISECONDS = 250
 
-/** Connections that are kept although nothing needs them, so that the first request needs no handshake. */
+/** Connections that are kept open without demand, so that the first request needs no handshake. */
 const WARM_CONNECTIONS = 1
 
 /**
- * For so long those who wait may be passed over by work that can use the connection that came free. A few
- * handshakes long: connections change hands seldom, and no customer's work waits behind another's without end.
+ * How long a waiter may be overtaken by others that can use the released connection of their customer. A few handshakes
+ * long, so that connections are seldom replaced and no customer starves behind another.
  */
-const PASSED_OVER_MILLISECONDS = 50
+const STARVATION_MILLISECONDS = 50
 
-/** The priorities of requests begin at 0. */
+/** Ahead of all requests, whose priorities start at 0. */
 const HIGHEST_PRIORITY = -1
 
-const OWN_USE: ConnectionUse = { kind: 'own' }
+const HOST_USE: ConnectionUse = { kind: 'own' }
 
 const NO_SESSION = new SessionValues()
 
-const NOT_TAKEN = milliseconds(Number.NEGATIVE_INFINITY)
+const NEVER_TAKEN = milliseconds(Number.NEGATIVE_INFINITY)
 
-export class ServerPool implements ConnectionHolder {
+export class ServerPool implements ConnectionReceiver {
   readonly #context: HostContext
   readonly #idle = new IdleConnections<PooledLink>()
   readonly #all = new Set<PooledLink>()
-  readonly #line = new WaitingLine<LinkWaiter>()
-  /** How long work holds a connection, the pauses of transactions included. */
-  readonly #holds = new ServiceEstimate()
+  readonly #queue = new WaitingLine<LinkWaiter>()
+  /** How long requests hold a connection, including idle time within transactions. */
+  readonly #holdTimes = new ServiceEstimate()
   #connectionLimit: number
-  /** Hosts that share the server's connections. */
-  readonly #holders: () => number
+  /** Returns the number of hosts that share the server's connections. */
+  readonly #holdingHosts: () => number
   #isClosed = false
-  #owesSince = Number.NEGATIVE_INFINITY
+  #busySince = Number.NEGATIVE_INFINITY
   readonly #opener: ConnectionOpener
 
   constructor(
     context: HostContext,
     address: BackendAddress,
     connectionLimit: number,
-    holders: () => number,
+    holdingHosts: () => number,
   ) {
-    this.#holders = holders
+    this.#holdingHosts = holdingHosts
     this.#context = context
     this.#connectionLimit = connectionLimit
     this.#opener = new ConnectionOpener(context, address, this)
   }
 
-  /** Refused connections in a row, and signs of a port that refuses; a sign of life ends them. */
+  /** Number of consecutive refused connections and liveness probes; a successful one resets it. */
   get refusals(): number {
     return this.#opener.refusals
   }
@@ -99,7 +99,7 @@
   }
 
   get waiting(): number {
-    return this.#line.size
+    return this.#queue.size
   }
 
   get busy(): number {
@@ -107,15 +107,15 @@
   }
 
   get size(): number {
-    return this.#all.size + this.#opener.count
+    return this.#all.size + this.#opener.openingCount
   }
 
-  /** What a customer's work would wait for a new connection; 0 where one is idle. */
+  /** Expected time to open a connection for the customer's request; 0 if one is idle. */
   openingMilliseconds(customer: CustomerName | null): number {
     return this.#idle.has(customer) ? 0 : this.#opener.usualMilliseconds
   }
 
-  /** When bytes last came on any connection. */
+  /** When bytes were last received on any connection. */
   get lastHeardAt(): number {
     let last = Number.NEGATIVE_INFINITY
     for (const { link } of this.#all) last = Math.max(last, link.lastHeardAt)
@@ -123,52 +123,52 @@
   }
 
   /**
-   * Since when work has run or waited here without a pause. Not when the last of it came: under load
-   * that is always a moment ago, and the silence of a dead server would never seem to begin.
+   * Since when requests have run or waited without interruption. The arrival of the latest request would not do: under
+   * load it is always recent, and a dead server's silence would never be noticed.
    */
-  get owesSince(): number {
-    return this.#owesSince
+  get busySince(): number {
+    return this.#busySince
   }
 
-  /** A connection whose values fit the session best, or a place in the line for one. */
+  /** Acquires the idle connection whose values are closest to the session's, or waits for one. */
   acquire(session: SessionValues, terms: AcquireTerms): Promise<Acquired> {
     if (this.#isClosed) return Promise.resolve({ failure: 'withdrawn' })
-    if (this.busy === 0 && this.waiting === 0) this.#owesSince = this.#context.clock.now()
+    if (this.busy === 0 && this.waiting === 0) this.#busySince = this.#context.clock.now()
     const idle = this.#takeIdle(session, terms.use)
-    if (idle !== null) return Promise.resolve({ link: this.#taken(idle, terms.use) })
+    if (idle !== null) return Promise.resolve({ link: this.#markTaken(idle, terms.use) })
     const waitMilliseconds = this.#forecastWait(terms)
-    if (waitMilliseconds > terms.patienceMilliseconds) {
+    if (waitMilliseconds > terms.maximumWaitMilliseconds) {
       return Promise.resolve({ failure: 'overloaded', waitMilliseconds })
     }
     return this.#wait(session, terms)
   }
 
-  /** How long work that comes now would wait for a connection. */
+  /** How long a request that arrives now would wait for a connection. */
   #forecastWait(terms: AcquireTerms): number {
     if (this.#opensAtOnce(terms.use)) return 0
     return Math.max(
       this.#opener.deniedMilliseconds,
       forecastWait({
-        ahead: this.#line.aheadOf(terms),
-        connections: this.busy + (this.#opener.wasFull ? 0 : this.#opener.count),
-        holdMilliseconds: this.#holds.at(this.#context.clock.now()),
+        ahead: this.#queue.aheadOf(terms),
+        connections: this.busy + (this.#opener.wasFull ? 0 : this.#opener.openingCount),
+        holdMilliseconds: this.#holdTimes.at(this.#context.clock.now()),
       }),
     )
   }
 
-  /** Whether a customer's work gets a connection of its own, opened for it, and waits for nobody. */
+  /** Whether a connection can be opened for a customer's request at once, without queueing. */
   #opensAtOnce(use: ConnectionUse): boolean {
     if (customerOf(use) === null || this.#opener.wasFull) return false
     return this.size < this.#limits().burst || this.#idle.size > 0
   }
 
-  /** A connection for the host's own questions and orders: before all requests, and however long the line is. */
+  /** Acquires a connection for the host's own commands, ahead of all requests and however long the queue is. */
   acquireFirst(deadline: Milliseconds): Promise<Acquired> {
     return this.acquire(NO_SESSION, {
       priority: HIGHEST_PRIORITY,
       deadline,
-      patienceMilliseconds: Number.POSITIVE_INFINITY,
-      use: OWN_USE,
+      maximumWaitMilliseconds: Number.POSITIVE_INFINITY,
+      use: HOST_USE,
     })
   }
 
@@ -187,78 +187,78 @@
       }
       const timer = setTimeout(
         () => {
-          this.#line.leave(waiter)
+          this.#queue.leave(waiter)
           resolve({ failure: 'overdue' })
         },
         Math.max(0, deadline - this.#context.clock.now()),
       )
-      this.#line.join(waiter)
+      this.#queue.join(waiter)
       this.#openMore()
     })
   }
 
-  /** An idle connection, or null; nothing waits for it. */
+  /** Takes an idle connection without waiting; null if there is none. */
   takeIdleNow(): PooledLink | null {
     const idle = this.#idle.takeAny()
-    return idle === null ? null : this.#taken(idle, OWN_USE)
+    return idle === null ? null : this.#markTaken(idle, HOST_USE)
   }
 
-  /** The connection is outside any transaction and owes no answer. */
+  /** Returns a connection that is outside any transaction and has no pending answer. */
   release(pooled: PooledLink): void {
     if (!pooled.link.isOpen || this.#isClosed) {
       this.discard(pooled)
       return
     }
-    this.#given(pooled)
+    this.#recordHold(pooled)
     const waiter = this.#nextFor(pooled)
     if (waiter !== null) {
-      waiter.settle({ link: this.#taken(pooled, waiter.use) })
+      waiter.settle({ link: this.#markTaken(pooled, waiter.use) })
       return
     }
     pooled.idleSince = this.#context.clock.now()
     this.#idle.add(pooled)
-    if (this.#line.size > 0) this.#openMore()
+    if (this.#queue.size > 0) this.#openMore()
   }
 
-  /** Who gets a connection that came free; nobody if it has to make room for another customer's. */
+  /** The waiter that gets a released connection; null if it has to make room for another customer's connection. */
   #nextFor(pooled: PooledLink): LinkWaiter | null {
-    const { first } = this.#line
-    if (first !== null && !isFor(pooled, first) && this.#isPassedOver(first)) return null
-    return this.#line.next(waiter => isFor(pooled, waiter))
+    const { first } = this.#queue
+    if (first !== null && !canUse(pooled, first) && this.#isStarved(first)) return null
+    return this.#queue.next(waiter => canUse(pooled, waiter))
   }
 
-  #isPassedOver({ use, since }: LinkWaiter): boolean {
-    if (this.#opener.byCustomer.has(customerOf(use))) return false
-    return this.#context.clock.now() > addMilliseconds(since, PASSED_OVER_MILLISECONDS)
+  #isStarved({ use, since: since }: LinkWaiter): boolean {
+    if (this.#opener.openingByCustomer.has(customerOf(use))) return false
+    return this.#context.clock.now() > addMilliseconds(since, STARVATION_MILLISECONDS)
   }
 
-  #taken(pooled: PooledLink, use: ConnectionUse): PooledLink {
+  #markTaken(pooled: PooledLink, use: ConnectionUse): PooledLink {
     pooled.takenAt = this.#context.clock.now()
     if (use.kind === 'customer') pooled.usedAt = pooled.takenAt
     return pooled
   }
 
-  /** Work gives it back, or a connection that was just made has not held any. */
-  #given({ takenAt }: PooledLink): void {
+  /** Records how long a request held the connection; a new connection has not been acquired yet and is skipped. */
+  #recordHold({ takenAt }: PooledLink): void {
     const now = this.#context.clock.now()
-    if (Number.isFinite(takenAt)) this.#holds.record(now - takenAt, now)
+    if (Number.isFinite(takenAt)) this.#holdTimes.record(now - takenAt, now)
   }
 
-  /** The connection owes an answer or is in an unknown state: nobody may use it again. */
+  /** Closes a connection that has a pending answer or is in an unknown state, so that it is not used again. */
   discard(pooled: PooledLink): void {
-    this.#drop(pooled)
+    this.#closeLink(pooled)
     if (!this.#isClosed) this.#openMore()
   }
 
-  #drop(pooled: PooledLink): void {
-    if (!this.#idle.remove(pooled) && this.#all.has(pooled)) this.#given(pooled)
+  #closeLink(pooled: PooledLink): void {
+    if (!this.#idle.remove(pooled) && this.#all.has(pooled)) this.#recordHold(pooled)
     this.#all.delete(pooled)
     pooled.link.close()
   }
 
-  /** Sends those who wait elsewhere. */
+  /** Fails all waiting requests, which then look for another server. */
   withdrawWaiting(failure: AcquireFailure): void {
-    for (const waiter of this.#line.takeAll()) waiter.settle({ failure })
+    for (const waiter of this.#queue.takeAll()) waiter.settle({ failure })
   }
 
   tick(now: Milliseconds, keepWarm: boolean): void {
@@ -266,7 +266,7 @@
     this.#openMore(keepWarm ? WARM_CONNECTIONS : 0)
   }
 
-  /** Takes no more work; connections in use end with their work. */
+  /** Accepts no more requests; connections in use are closed when they are released. */
   close(): void {
     this.#isClosed = true
     this.withdrawWaiting('withdrawn')
@@ -275,7 +275,7 @@
 
   #limits(): PoolLimits {
     const { requiresKeys } = this.#context.settings
-    return poolLimits(this.#connectionLimit, this.#holders(), requiresKeys)
+    return poolLimits(this.#connectionLimit, this.#holdingHosts(), requiresKeys)
   }
 
   #takeIdle(session: SessionValues, use: ConnectionUse): PooledLink | null {
@@ -286,41 +286,41 @@
   #openMore(warm = 0): void {
     if (this.#isClosed || !this.#opener.mayOpen) return
     const limits = this.#opener.wasFull ? { share: 1, burst: this.#all.size + 1 } : this.#limits()
-    const missing = this.#missing()
-    const opening = this.#opener.count
-    const state = { size: this.size, opening, idle: 0, waiting: opening + missing.length }
+    const uncovered = this.#waitersWithoutConnection()
+    const opening = this.#opener.openingCount
+    const state = { size: this.size, opening, idle: 0, waiting: opening + uncovered.length }
     const room = connectionsToOpen(state, limits, warm)
-    for (const [index, waiter] of missing.entries()) {
+    for (const [index, waiter] of uncovered.entries()) {
       if (index < room || this.#makeRoom(waiter)) void this.#opener.open(customerOf(waiter.use))
     }
-    for (let index = missing.length; index < room; index += 1) void this.#opener.open(null)
+    for (let index = uncovered.length; index < room; index += 1) void this.#opener.open(null)
   }
 
-  /** For whom a connection has to be opened: those who wait beyond what is being opened for their customers. */
-  #missing(): LinkWaiter[] {
-    const coming = new Map(this.#opener.byCustomer)
-    const missing: LinkWaiter[] = []
-    for (const waiter of this.#line.waiting()) {
+  /** The waiters for whom no connection is being opened yet, by customer. */
+  #waitersWithoutConnection(): LinkWaiter[] {
+    const unclaimed = new Map(this.#opener.openingByCustomer)
+    const uncovered: LinkWaiter[] = []
+    for (const waiter of this.#queue.waiting()) {
       const customer = customerOf(waiter.use)
-      const left = coming.get(customer) ?? 0
-      if (left === 0) missing.push(waiter)
-      else coming.set(customer, left - 1)
+      const left = unclaimed.get(customer) ?? 0
+      if (left === 0) uncovered.push(waiter)
+      else unclaimed.set(customer, left - 1)
     }
-    return missing
+    return uncovered
   }
 
   /**
-   * Closes an idle connection that another customer holds. A customer with a connection in use waits for that one
-   * first: each statement that came beside another of its customer took a connection from a third, which had to open
-   * its own anew a moment later.
+   * Closes an idle connection of another customer to make room for the waiter's. A customer with a connection in use
+   * waits for that one first: otherwise each concurrent statement of one customer closed a connection of another, which
+   * had to be reopened a moment later.
    */
   #makeRoom(waiter: LinkWaiter): boolean {
     const { use } = waiter
     if (use.kind === 'own' || this.#idle.size === 0) return false
-    if (this.#isInUse(use.customer) && !this.#isPassedOver(waiter)) return false
+    if (this.#isInUse(use.customer) && !this.#isStarved(waiter)) return false
     const replaced = this.#idle.toReplaceFor(use.customer)
     if (replaced === null) return false
-    this.#drop(replaced)
+    this.#closeLink(replaced)
     return true
   }
 
@@ -339,17 +339,17 @@
       customer,
       idleSince: now,
       usedAt: now,
-      takenAt: NOT_TAKEN,
+      takenAt: NEVER_TAKEN,
     }
     this.#all.add(pooled)
     link.onClosed(() => {
-      // One that this pool closes itself is no longer among its connections.
+      // A connection that the pool closes itself has been removed from #all before.
       if (this.#all.has(pooled)) this.discard(pooled)
     })
     this.release(pooled)
   }
 
-  /** Where this host has connections to a full server, those who wait get them by and by. */
+  /** If the server is full but this host holds connections to it, waiters stay queued for these. */
   failedToOpen(failure: OpenFailure): void {
     if (failure === 'unreachable' || this.#all.size === 0) this.withdrawWaiting(failure)
   }
--- a/packages/host/src/serviceDesk.ts
+++ b/packages/host/src/serviceDesk.ts
@@ -1,5 +1,6 @@
 /**
- * One service on this host: its servers, who leads, how fresh reads must be, and who may serve what.
+ * One service as this host knows it: its servers, the believed primary, the freshness bounds of reads, and the choice
+ * of a server for each statement.
  *
  * @internal
  */
@@ -33,32 +34,32 @@
 import type { HostContext } from './hostContext.js'
 import { Signal } from './waiting.js'
 
-/** How long a host keeps what it needs to serve in an owner's place after it last did. */
+/** How long a host stays active for a service that it does not own after it last served it in place of an owner. */
 const STAND_IN_MILLISECONDS = 5000
 
-/** A little longer than the longest time between two questions to a primary. */
-const HEARD_LATELY_MILLISECONDS = 700
+/** Slightly longer than the longest interval between two probes of a primary. */
+const RECENTLY_HEARD_MILLISECONDS = 700
 
 export class ServiceDesk {
   readonly name: string
   readonly bounds = new FreshnessBounds()
-  /** Raised whenever a request that waits may find something new. */
+  /** Raised on every change that a waiting request may depend on. */
   readonly changed = new Signal()
   readonly #context: HostContext
   readonly #directory: ServerDirectory
-  #activeUntil = milliseconds(0)
-  /** Hosts that hold connections to this service's servers. */
+  #standInUntil = milliseconds(0)
+  /** Number of hosts that hold connections to this service's servers. */
   holders = 1
-  /** The same by region. */
+  /** Number of such hosts by region. */
   holdersByRegion: ReadonlyMap<RegionId, number> = new Map()
-  /** When a replica was last seen to have received more. */
+  /** When a replica was last seen to have received more of the log. */
   logGrewAt: Milliseconds = milliseconds(Number.NEGATIVE_INFINITY)
-  #newestSeen: LogPosition | null = null
-  /** When another host last ran something at a primary that this one does not reach. */
+  #newestReplicaPosition: LogPosition | null = null
+  /** When another host last answered a statement relayed by this one. */
   reachedThroughOthersAt: Milliseconds = milliseconds(Number.NEGATIVE_INFINITY)
-  /** This host is one of them. */
+  /** Whether this host is one of the holders. */
   isOwned = true
-  /** This host says whether the primary lives when another one finds it silent. */
+  /** Whether this host gives its opinion on the primary's liveness when another host suspects it. */
   isObserved = true
   readonly #leadership = new Leadership()
   readonly #servers = new Map<BackendServerId, BackendServerState>()
@@ -75,14 +76,14 @@
     this.name = configuration.name
   }
 
-  /** Whether this host works with the service's servers: it owns it, or serves in an owner's place. */
+  /** Whether this host uses the service's servers: it owns the service, or serves in place of an owner. */
   isActive(now: Milliseconds): boolean {
-    return this.isOwned || now < this.#activeUntil
+    return this.isOwned || now < this.#standInUntil
   }
 
-  /** Another host, or this one's own callers, have work for it that no owner takes. */
+  /** Makes this host serve requests of other hosts or of its own callers that no owner accepts. */
   standIn(now: Milliseconds): void {
-    this.#activeUntil = addMilliseconds(now, STAND_IN_MILLISECONDS)
+    this.#standInUntil = addMilliseconds(now, STAND_IN_MILLISECONDS)
   }
 
   get configuration(): ServiceConfiguration {
@@ -104,33 +105,36 @@
     return this.#servers.get(id)
   }
 
-  /** Who is taken for the primary, whether or not it may be given work. */
+  /** The believed primary, whether or not it may be given work. */
   get primary(): BackendServerState | null {
     const { primary } = this.#leadership
     return primary === null ? null : (this.#servers.get(primary) ?? null)
   }
 
-  /** The primary, if writes may be sent there now. */
+  /** The believed primary, if writes may be sent to it now. */
   writablePrimary(now: Milliseconds): BackendServerState | null {
     const { primary } = this
     if (primary === null || !this.#directory.mayTakeWork(primary.entry.server, now)) return null
     return primary
   }
 
-  /** Whether the primary is known and has not been silent to this host. */
+  /** Whether the primary is known, accepts connections and answers this host within the silence limit. */
   reachesPrimary(now: Milliseconds): boolean {
     const primary = this.writablePrimary(now)
     if (primary === null || primary.pool.refusals > 0) return false
     return primary.silentFor(now) <= SILENCE_LIMIT_MILLISECONDS
   }
 
-  /** Whether the primary gave this host a sign of life just now. Not to find it silent is not enough. */
+  /**
+   * Whether this host received anything from the primary recently. It is not enough that the primary owes no answer:
+   * it is then not silent, but may still be dead.
+   */
   hasHeardPrimary(now: Milliseconds): boolean {
     const primary = this.writablePrimary(now)
-    return primary !== null && now - primary.heardAt <= HEARD_LATELY_MILLISECONDS
+    return primary !== null && now - primary.lastHeardAt <= RECENTLY_HEARD_MILLISECONDS
   }
 
-  /** Whether requests wait here because no primary is known, which the store's next change may name. */
+  /** Whether requests wait because no primary is known; the next change of the store may name it. */
   isAwaitingPrimary(now: Milliseconds): boolean {
     return this.changed.isAwaited && this.writablePrimary(now) === null
   }
@@ -141,7 +145,7 @@
     const limit = this.#configuration.connectionLimit
     const holders = (): number => this.#holdersOf(entry.server)
     this.#servers.set(entry.server, new BackendServerState(this.#context, entry, limit, holders))
-    if (entry.role === 'primary') this.#leads(entry.server, now, 'entry')
+    if (entry.role === 'primary') this.#acceptPrimary(entry.server, now, 'entry')
     this.changed.raise()
   }
 
@@ -153,7 +157,7 @@
     }
     server.entry = entry
     if (entry.role !== before.role) {
-      if (entry.role === 'primary') this.#leads(entry.server, now, 'entry')
+      if (entry.role === 'primary') this.#acceptPrimary(entry.server, now, 'entry')
       else this.refusedToLead(entry.server, now, 'entry')
     }
     this.changed.raise()
@@ -166,20 +170,21 @@
     this.changed.raise()
   }
 
-  /** The server ran a statement, sent at `askedAt`, that only a primary runs. */
+  /** Records that the server ran a statement, sent at `askedAt`, that only a primary runs. */
   provedToLead(id: BackendServerId, askedAt: Milliseconds, position: LogPosition | null): void {
-    this.#leads(id, askedAt, 'answer')
+    this.#acceptPrimary(id, askedAt, 'answer')
     if (position === null) return
     this.bounds.note(askedAt, position)
     this.changed.raise()
   }
 
-  /** A change of primary ended with this server. */
+  /** Records that a change of primary completed with this server as the new one. */
   toldToLead(id: BackendServerId, now: Milliseconds): void {
-    this.#leads(id, now, 'change')
+    this.#acceptPrimary(id, now, 'change')
     this.changed.raise()
   }
 
+  /** Records that the server, asked at `askedAt`, is not the primary; requests that wait for it are redirected. */
   refusedToLead(id: BackendServerId, askedAt: Milliseconds, source: string): void {
     if (!this.#leadership.refused(id, askedAt)) return
     this.#logPrimary(source)
@@ -188,14 +193,14 @@
   }
 
   /**
-   * A replica's log ended here. While it grows, its primary serves somebody, though this host may
-   * have lost sight of it.
+   * Records the end of a replica's log. While that grows, the primary serves writes, although this host may not reach
+   * it.
    */
   sawLog(id: BackendServerId, position: LogPosition | null, now: Milliseconds): void {
     if (position === null || id === this.#leadership.primary) return
-    const newest = this.#newestSeen
+    const newest = this.#newestReplicaPosition
     if (newest !== null && isAtOrPast(newest, position)) return
-    this.#newestSeen = position
+    this.#newestReplicaPosition = position
     if (newest !== null) this.logGrewAt = now
   }
 
@@ -204,8 +209,8 @@
   }
 
   /**
-   * Among how many hosts a server's connections are divided. Where each customer has its own, they are too few to
-   * leave parts of them to hosts that hardly use the server.
+   * Number of hosts among which a server's connections are divided. Where each customer needs connections of its own,
+   * there are too few of them to reserve shares for hosts that hardly use the server.
    */
   #holdersOf(id: BackendServerId): number {
     const server = this.#servers.get(id)
@@ -221,7 +226,7 @@
     })
   }
 
-  /** The best server for a read that any may serve whose log is far enough; null when none is left. */
+  /** The best server for a read that needs the log up to `need`; null when every candidate is excluded. */
   chooseReader(
     need: LogPosition | null,
     excluded: ReadonlySet<BackendServerId>,
@@ -231,7 +236,7 @@
     return this.#best(this.#candidates(need, excluded, now, customer))
   }
 
-  /** The best server that could serve such a read now, by all that is known of it; null for none. */
+  /** The best server that is expected to serve such a read now; null if there is none. */
   chooseReadyReader(
     need: LogPosition | null,
     excluded: ReadonlySet<BackendServerId>,
@@ -277,9 +282,9 @@
     for (const server of this.#servers.values()) server.close()
   }
 
-  #leads(id: BackendServerId, asOf: Milliseconds, source: string): void {
+  #acceptPrimary(id: BackendServerId, observedAt: Milliseconds, source: string): void {
     const before = this.#leadership.primary
-    if (!this.#leadership.leads(id, asOf)) return
+    if (!this.#leadership.leads(id, observedAt)) return
     this.#logPrimary(source)
     if (before !== null) this.#servers.get(before)?.pool.withdrawWaiting('withdrawn')
     this.changed.raise()
--- a/packages/host/src/sessionStatements.ts
+++ b/packages/host/src/sessionStatements.ts
@@ -1,7 +1,7 @@
 /**
- * What one session's statements do: its values, its transaction, and where each statement runs. Statements that change
- * only the session are answered here; BEGIN too, so that a transaction takes a connection no earlier than its first
- * statement.
+ * Executes the statements of one session: keeps its values and transaction state, and passes on what has to run on a
+ * backend server. Statements that change only the session are answered here, BEGIN included, so that a transaction takes
+ * a connection no earlier than its first statement.
  *
  * @internal
  */
@@ -20,7 +20,7 @@
 } from '@nutmegcourse/protocol'
 import { SessionValues } from '@nutmegcourse/state'
 import type { RemoteStatement } from './attempt.js'
-import { CallerName, type Denial, type Permission } from './callerName.js'
+import { CallerAuthorization, type Denial, type Permission } from './callerAuthorization.js'
 import type { HostContext } from './hostContext.js'
 import type { RouteLookup, RoutePlace } from './routeLookup.js'
 import { reportStatement } from './statementReport.js'
@@ -35,7 +35,7 @@
 
 type TransactionState =
   | { readonly kind: 'none' }
-  /** The caller was told that it began; no connection holds it yet. */
+  /** BEGIN has been answered; no connection is assigned yet. */
   | { readonly kind: 'declared'; readonly readOnly: boolean }
   | {
       readonly kind: 'running'
@@ -43,18 +43,18 @@
       readonly customer: CustomerName | null
       readonly transaction: RunningTransaction
     }
-  /** It is gone; the caller has yet to end it. `isTold`: it knows. */
-  | { readonly kind: 'failed'; readonly isTold: boolean }
+  /** It was rolled back; the caller still has to end it. `isReported`: the caller has received an error for it. */
+  | { readonly kind: 'failed'; readonly isReported: boolean }
 
-const TOLD: TransactionState = { kind: 'failed', isTold: true }
-const NOT_TOLD: TransactionState = { kind: 'failed', isTold: false }
+const FAILURE_REPORTED: TransactionState = { kind: 'failed', isReported: true }
+const FAILURE_UNREPORTED: TransactionState = { kind: 'failed', isReported: false }
 
 export class SessionStatements {
   readonly database: string
   readonly #context: HostContext
   readonly #routes: RouteLookup
   readonly #runner: Runner
-  readonly #name: CallerName
+  readonly #authorization: CallerAuthorization
   readonly #state: SessionState = { values: new SessionValues(), ownPosition: null }
   #transaction: TransactionState = { kind: 'none' }
 
@@ -69,14 +69,14 @@
     this.#routes = routes
     this.#runner = runner
     this.database = database
-    this.#name = new CallerName(routes, key)
+    this.#authorization = new CallerAuthorization(routes, key)
   }
 
-  /** Why the session may not begin; null when it may. */
+  /** Why the session may not start; null if it may. */
   get denial(): Denial | null {
     const place = this.#routes.find(this.database)
     if (place === null) return UNKNOWN_DATABASE
-    const permission = this.#name.forSession(place.route)
+    const permission = this.#authorization.authorizeSession(place.route)
     return permission.kind === 'denied' ? permission.denial : null
   }
 
@@ -96,18 +96,18 @@
     }
   }
 
-  /** Ends an open transaction of which its caller does not know yet that it is gone. */
+  /** Rolls back an open transaction; the caller is informed with its next statement. */
   endTransaction(): void {
     const { kind } = this.#transaction
     if (kind !== 'running' && kind !== 'declared') return
     this.dropTransaction()
-    this.#transaction = NOT_TOLD
+    this.#transaction = FAILURE_UNREPORTED
   }
 
   async serve(statement: CallerStatement): Promise<StatementResult> {
     const { body } = statement
     if (this.#transaction.kind === 'failed') {
-      return this.#serveFailed(statement, this.#transaction.isTold)
+      return this.#serveFailed(statement, this.#transaction.isReported)
     }
     switch (body.kind) {
       case 'malformed':
@@ -137,14 +137,15 @@
   }
 
   /**
-   * Ending it rolls back; that is no commit, and the caller is told so. So is one that does not know
-   * yet that this host ended its transaction: "malformed" says nothing of what is kept.
+   * Serves a statement of a failed transaction. A commit is refused with "aborted", since the transaction was rolled
+   * back. So is the first statement after this host ended the transaction on its own: "malformed" would not tell the
+   * caller that nothing was kept.
    */
-  #serveFailed(statement: CallerStatement, isTold: boolean): StatementResult {
+  #serveFailed(statement: CallerStatement, isReported: boolean): StatementResult {
     const { kind } = statement.body
     if (kind !== 'rollback' && kind !== 'commit') {
-      this.#transaction = TOLD
-      if (!isTold) return refusal('aborted', 'the transaction was rolled back')
+      this.#transaction = FAILURE_REPORTED
+      if (!isReported) return refusal('aborted', 'the transaction was rolled back')
       return refusal('malformed', 'the transaction has failed and must be ended')
     }
     this.#transaction = { kind: 'none' }
@@ -173,7 +174,7 @@
     return result
   }
 
-  /** A change of a route applies from the next transaction on, so a running one keeps its own. */
+  /** Changes of a route apply from the next transaction on; a running transaction keeps its route. */
   #findPlace(): RoutePlace | null {
     const transaction = this.#transaction
     if (transaction.kind === 'running') {
@@ -182,11 +183,11 @@
     return this.#routes.find(this.database)
   }
 
-  /** Limits count an operation once, at its first statement. */
+  /** A transaction counts against the customer's limit once, at its first statement. */
   async #permissionFor(route: Route): Promise<Permission> {
     const transaction = this.#transaction
-    if (transaction.kind !== 'running') return this.#name.forOperation(route)
-    return this.#name.withinTransaction(route, transaction.customer)
+    if (transaction.kind !== 'running') return this.#authorization.authorizeOperation(route)
+    return this.#authorization.authorizeInTransaction(route, transaction.customer)
   }
 
   #requestFor(
@@ -225,36 +226,36 @@
           return this.#fail(refusal('readOnly', 'the transaction only reads'))
         }
         const begun = await this.#runner.begin(request, transaction.readOnly)
-        this.#noteTransaction(request, begun.transaction)
+        this.#updateTransaction(request, begun.transaction)
         return begun.result
       }
       case 'running': {
-        const gone = await this.#runner.continue(request, transaction.transaction)
-        this.#noteTransaction(request, gone.transaction)
-        return gone.result
+        const continued = await this.#runner.continue(request, transaction.transaction)
+        this.#updateTransaction(request, continued.transaction)
+        return continued.result
       }
     }
   }
 
-  #noteTransaction(request: StatementRequest, transaction: RunningTransaction | null): void {
+  #updateTransaction(request: StatementRequest, transaction: RunningTransaction | null): void {
     if (transaction !== null) {
       const { route, customer } = request
       this.#transaction = { kind: 'running', route, customer, transaction }
       return
     }
     const isEnded = request.statement.body.kind === 'commit'
-    this.#transaction = isEnded ? { kind: 'none' } : TOLD
+    this.#transaction = isEnded ? { kind: 'none' } : FAILURE_REPORTED
   }
 
-  /** Inside a transaction a refused statement ends it. */
+  /** Returns the refusal; if a transaction is open, the refusal also ends it. */
   #fail(result: StatementResult): StatementResult {
     if (this.#transaction.kind === 'none') return result
     this.dropTransaction()
-    this.#transaction = TOLD
+    this.#transaction = FAILURE_REPORTED
     return result
   }
 
-  /** Nothing of the transaction is kept. */
+  /** Rolls back the transaction, if one is running, and leaves the session outside any transaction. */
   dropTransaction(): void {
     if (this.#transaction.kind === 'running') {
       this.#runner.endTransaction(this.#transaction.transaction, 'open')
--- a/packages/host/src/statementReport.ts
+++ b/packages/host/src/statementReport.ts
@@ -1,5 +1,5 @@
 /**
- * What is logged of a statement that its caller may complain of: it was refused, or answered late.
+ * Logs statements that were refused or answered later than their latency target.
  *
  * @internal
  */
@@ -13,23 +13,23 @@
   { answer, reason }: StatementResult,
 ): void {
   const { route, statement, desk, isWrite, timing } = request
-  const took = clock.now() - request.arrivedAt
-  const described = {
+  const elapsed = clock.now() - request.arrivedAt
+  const description = {
     request: statement.id,
     database,
     route: route.name,
     statement: statement.body.kind,
     primary: desk.primary?.entry.server ?? null,
-    tookMilliseconds: Math.round(took),
+    tookMilliseconds: Math.round(elapsed),
   }
   if (answer.kind === 'refused') {
     const { refusal, detail } = answer
-    const why = { refusal, reason: reason ?? refusal, detail }
-    log.write('statement_refused', { ...described, write: isWrite, ...why })
-  } else if (took > route.latencyTargetMilliseconds) {
-    // Where the statement ran at another host, that one knows more.
+    const cause = { refusal, reason: reason ?? refusal, detail }
+    log.write('statement_refused', { ...description, write: isWrite, ...cause })
+  } else if (elapsed > route.latencyTargetMilliseconds) {
+    // For a relayed statement the waiting times and attempts of the other host are not included.
     log.write('statement_late', {
-      ...described,
+      ...description,
       newsMilliseconds: Math.round(timing.newsMilliseconds),
       connectionMilliseconds: Math.round(timing.connectionMilliseconds),
       tries: timing.tries,
--- a/packages/host/src/statementRunner.ts
+++ b/packages/host/src/statementRunner.ts
@@ -1,6 +1,6 @@
 /**
- * Carries single statements to backend servers: where to, how often, how long, and what the caller is
- * told when nothing came of it. Transactions go on to their own runner.
+ * Runs single statements on backend servers, with retries, hedged reads and a deadline, and answers a refusal when none
+ * succeeded. Delegates transactions to `TransactionRunner`.
  *
  * @internal
  */
@@ -9,33 +9,33 @@
 import { fateOf, type Mishap } from '@nutmegcourse/state'
 import type { BackendServerState } from './backendServerState.js'
 import type { HostContext } from './hostContext.js'
-import { READ_ACQUIRE_MILLISECONDS, ServerAccess, type ServerMishap } from './serverAccess.js'
+import { READ_ACQUIRE_MILLISECONDS, ServerAccess, type FailedAttempt } from './serverAccess.js'
 import {
   answered,
-  noteOwnWrite,
+  recordOwnWrite,
   refused,
-  type BegunTransaction,
+  type TransactionStep,
   type LocalTransaction,
   type StatementRequest,
   type StatementResult,
 } from './statements.js'
 import { TransactionRunner } from './transactionRunner.js'
-import { UNCONFIRMED, refusalAfter, withoutAccess, type NoAccess } from './unserved.js'
+import { UNCONFIRMED, refusalAfter, withoutAccess, type NoAccess } from './accessRefusals.js'
 import { earlier, pause } from './waiting.js'
 
 /**
- * When a second server gets the same read: after three times what the first usually takes, but not
- * before its tail is over, and early enough that the second still has most of the time.
+ * When a read is sent to a second server as well: after three times the first server's usual latency, but not within
+ * its normal latency tail, and early enough that the second server still has most of the statement's time.
  */
 const HEDGE_FACTOR = 3
-const HEDGE_LEAST_MILLISECONDS = 120
-const HEDGE_TIMEOUT_SHARE = 0.4
+const HEDGE_MINIMUM_MILLISECONDS = 120
+const HEDGE_MAXIMUM_TIMEOUT_SHARE = 0.4
 
 type ReadOutcome =
-  /** The server gave no connection, or nothing tells yet how fresh the read must be. */
+  /** No connection was available, or the freshness bound of the read is not known yet. */
   | { readonly kind: 'notTried'; readonly server: BackendServerState; readonly access: NoAccess }
   | { readonly kind: 'answered'; readonly result: StatementResult }
-  | ({ readonly kind: 'mishap' } & ServerMishap)
+  | ({ readonly kind: 'mishap' } & FailedAttempt)
 
 export class StatementRunner {
   readonly #context: HostContext
@@ -49,32 +49,32 @@
     this.#transactions = new TransactionRunner(context, this.#access)
   }
 
-  /** The first statement of a transaction, with the BEGIN that the caller was already told of. */
-  begin(request: StatementRequest, readOnly: boolean): Promise<BegunTransaction<LocalTransaction>> {
+  /** Runs the first statement of a transaction, preceded by the BEGIN that the caller already has the answer to. */
+  begin(request: StatementRequest, readOnly: boolean): Promise<TransactionStep<LocalTransaction>> {
     return this.#transactions.begin(request, readOnly)
   }
 
-  /** A later statement of a transaction, the commit included. */
+  /** Runs a later statement of a transaction, the commit included. */
   continue(
     request: StatementRequest,
     transaction: LocalTransaction,
-  ): Promise<BegunTransaction<LocalTransaction>> {
+  ): Promise<TransactionStep<LocalTransaction>> {
     return this.#transactions.continue(request, transaction)
   }
 
-  /** Gives the connection back without the transaction. `status` is where the server left it. */
+  /** Ends the transaction and returns its connection. `status` is the connection's last known session status. */
   endTransaction(transaction: LocalTransaction, status: SessionStatus | null): void {
     this.#transactions.end(transaction, status)
   }
 
-  /** A read or write outside a transaction. */
+  /** Runs a read or write outside a transaction. */
   single(request: StatementRequest): Promise<StatementResult> {
     return request.isWrite ? this.#write(request) : this.#read(request)
   }
 
   async #write(request: StatementRequest): Promise<StatementResult> {
     let last: Mishap = { kind: 'notSent' }
-    while (!this.#access.isOver(request)) {
+    while (!this.#access.isExpired(request)) {
       const server = await this.#access.awaitPrimary(request)
       if (server === null) continue
       if (!server.mayWrite(this.#context.clock.now())) {
@@ -88,19 +88,19 @@
       }
       const { link } = access
       const sentAt = this.#context.clock.now()
-      const outcome = await this.#access.confirming(server, () =>
+      const outcome = await this.#access.trackConfirmation(server, () =>
         this.#access.attemptSingle(request, server, link, null, false),
       )
       if (outcome.kind === 'answered') {
-        noteOwnWrite(request, outcome.position)
+        recordOwnWrite(request, outcome.position)
         request.desk.provedToLead(server.entry.server, sentAt, outcome.position)
         return answered(outcome)
       }
       last = outcome.mishap
-      this.#access.learn(request, server, last, sentAt)
+      this.#access.recordFailure(request, server, last, sentAt)
       const fate = fateOf('singleWrite', last, false)
       if (fate.kind === 'answer') return refused(request, fate.refusal, last)
-      await this.#access.pauseAfter(last)
+      await this.#access.backOffAfter(last)
     }
     return refusalAfter(request, 'singleWrite', last)
   }
@@ -108,12 +108,12 @@
   async #read(request: StatementRequest): Promise<StatementResult> {
     const excluded = new Set<BackendServerId>()
     let last: Mishap = { kind: 'notSent' }
-    while (!this.#access.isOver(request)) {
+    while (!this.#access.isExpired(request)) {
       const outcome = await this.#hedgedRead(request, excluded)
       if (outcome === null) continue
       if (outcome.kind === 'answered') return outcome.result
       if (outcome.kind === 'notTried') {
-        if (this.#access.passOver(request, outcome.server, excluded)) continue
+        if (this.#access.excludeIfReplaceable(request, outcome.server, excluded)) continue
         const result = withoutAccess(request, 'singleRead', last, outcome.access)
         if (result === null) continue
         return result
@@ -121,12 +121,12 @@
       last = outcome.outcome.mishap
       const fate = fateOf('singleRead', last, false)
       if (fate.kind === 'answer') return refused(request, fate.refusal, last)
-      await this.#access.leaveOut(request, outcome.server, excluded)
+      await this.#access.exclude(request, outcome.server, excluded)
     }
     return refusalAfter(request, 'singleRead', last)
   }
 
-  /** Tries the best server, and a second one when the first takes long. Null when none was ready. */
+  /** Tries the best server, and a second one if the first is slow. Null when no server was available. */
   async #hedgedRead(
     request: StatementRequest,
     excluded: Set<BackendServerId>,
@@ -139,7 +139,7 @@
     const early = await Promise.race([first, delay.over])
     delay.cancel()
     if (early !== undefined) return early
-    const second = this.#access.otherReader(request, server, excluded)
+    const second = this.#access.alternativeReader(request, server, excluded)
     if (second === null) return first
     this.#context.log.write('read_hedged', {
       request: request.statement.id,
@@ -164,20 +164,20 @@
     const after = need.kind === 'position' ? need.position : null
     if (after !== null) server.progress.noteAsked(after, sentAt)
     const outcome = await this.#access.attemptSingle(request, server, link, after, after === null)
-    this.#access.noteReach(server, after, outcome)
+    this.#access.recordProgress(server, after, outcome)
     if (outcome.kind === 'answered') return { kind: 'answered', result: answered(outcome) }
-    this.#access.learn(request, server, outcome.mishap, sentAt)
+    this.#access.recordFailure(request, server, outcome.mishap, sentAt)
     return { kind: 'mishap', outcome, server }
   }
 
   #hedgeDelay(request: StatementRequest, server: BackendServerState): number {
     const usual = server.latency.at(this.#context.clock.now()) * HEDGE_FACTOR
-    const latest = request.route.statementTimeoutMilliseconds * HEDGE_TIMEOUT_SHARE
-    return Math.min(Math.max(usual, HEDGE_LEAST_MILLISECONDS), latest)
+    const latest = request.route.statementTimeoutMilliseconds * HEDGE_MAXIMUM_TIMEOUT_SHARE
+    return Math.min(Math.max(usual, HEDGE_MINIMUM_MILLISECONDS), latest)
   }
 }
 
-/** The first answer of two tries; when both fail, the first's failure. */
+/** The first answer of two attempts; if both fail, the failure of the first attempt. */
 async function firstAnswered(
   first: Promise<ReadOutcome>,
   second: Promise<ReadOutcome>,
--- a/packages/host/src/statements.ts
+++ b/packages/host/src/statements.ts
@@ -1,6 +1,5 @@
 /**
- * Statements on their way through an entry host, the transactions they run in, and what callers are
- * told of them.
+ * Statement requests, their results and the transactions they run in, as the runners of an entry host pass them on.
  *
  * @internal
  */
@@ -18,16 +17,16 @@
 import type { PooledLink } from './pooledLink.js'
 import type { ServiceDesk } from './serviceDesk.js'
 
-/** What a session brings to each of its statements. */
+/** The state of a session that each of its statements depends on. */
 export interface SessionState {
   readonly values: SessionValues
   /** The end of the log after the session's last acknowledged write; null when it wrote nothing. */
   ownPosition: LogPosition | null
 }
 
-/** Where the time of one statement went at this host, and in how many tries. */
+/** How long one statement waited at this host, and how many attempts it took. */
 export class StatementTiming {
-  /** Waiting for a primary, or for a bound on how fresh a read must be. */
+  /** Time spent waiting for a primary or for the freshness bound of a read. */
   newsMilliseconds = 0
   connectionMilliseconds = 0
   tries = 0
@@ -36,7 +35,7 @@
 export interface StatementRequest {
   readonly desk: ServiceDesk
   readonly route: Route
-  /** Whose connections it may use; null where customers are not told apart. */
+  /** The customer whose connections it uses; null where connections are not separated by customer. */
   readonly customer: CustomerName | null
   readonly session: SessionState
   readonly statement: RemoteStatement
@@ -46,81 +45,79 @@
   readonly timing: StatementTiming
 }
 
-/** Whether only the primary can run it. `readOnly`: it begins a transaction that only reads. */
+/** Whether only the primary can run it. `readOnly`: it is a read or begins a read-only transaction. */
 export const needsPrimary = (request: StatementRequest, readOnly: boolean): boolean =>
   request.isWrite || !readOnly || request.route.guarantee.kind === 'latest'
 
 export interface StatementResult {
   readonly answer: CallerAnswer
   readonly position: LogPosition | null
-  /** Why it was refused, in one word. */
+  /** The cause of a refusal as one word. */
   readonly reason?: string
 }
 
-/** A transaction that has begun on a connection of this host. */
+/** A transaction on a connection of this host. */
 export interface LocalTransaction {
   readonly kind: 'local'
   readonly desk: ServiceDesk
   readonly server: BackendServerState
   readonly link: PooledLink
-  /** Its commit has to be confirmed by a replica. */
+  /** Whether it has run a write, so that a replica has to confirm its commit. */
   hasWritten: boolean
 }
 
-/** A transaction that another entry host runs for this one. */
+/** A transaction that another entry host runs on behalf of this one. */
 export interface RelayedTransaction {
   readonly kind: 'relayed'
   readonly desk: ServiceDesk
   readonly peer: RelayPeer
-  /** The other host's number for it. */
+  /** The other host's identifier of it. */
   readonly id: number
 }
 
 export type RunningTransaction = LocalTransaction | RelayedTransaction
 
-export interface BegunTransaction<Transaction = RunningTransaction> {
+/** The result of one statement of a transaction, and the transaction if it goes on. */
+export interface TransactionStep<Transaction = RunningTransaction> {
   readonly result: StatementResult
   /** Null when the transaction is over. */
   readonly transaction: Transaction | null
 }
 
-/** Runs the statements of sessions, here or elsewhere. */
+/** Runs the statements of sessions, on this host or through another one. */
 export interface Runner {
-  /** A read or write outside a transaction. */
+  /** Runs a read or write outside a transaction. */
   single(request: StatementRequest): Promise<StatementResult>
-  /** The first statement of a transaction, with the BEGIN that the caller was already told of. */
-  begin(request: StatementRequest, readOnly: boolean): Promise<BegunTransaction>
-  /** A later statement of a transaction, the commit included. */
-  continue(request: StatementRequest, transaction: RunningTransaction): Promise<BegunTransaction>
-  /** Gives up the transaction. `status` is where the server left it. */
+  /** Runs the first statement of a transaction, preceded by the BEGIN that the caller already has the answer to. */
+  begin(request: StatementRequest, readOnly: boolean): Promise<TransactionStep>
+  /** Runs a later statement of a transaction, the commit included. */
+  continue(request: StatementRequest, transaction: RunningTransaction): Promise<TransactionStep>
+  /** Abandons the transaction. `status` is the connection's last known session status. */
   endTransaction(transaction: RunningTransaction, status: SessionStatus | null): void
 }
 
-/** The session's next reads must see what it wrote. */
-export function noteOwnWrite({ session }: StatementRequest, position: LogPosition | null): void {
+/** Records the position of an acknowledged write, which the session's next reads must include. */
+export function recordOwnWrite({ session }: StatementRequest, position: LogPosition | null): void {
   if (position === null) return
   const { ownPosition } = session
   session.ownPosition = ownPosition === null ? position : laterPosition(ownPosition, position)
 }
 
-/** What a caller is advised to wait before it comes back. */
+/** The retry delay that a refusal advises the caller to keep. */
 const RETRY_AFTER_MILLISECONDS = 250
 
-/** An answered try as a caller's result. */
+/** The caller's result of an answered attempt. */
 export function answered(outcome: Extract<AttemptOutcome, { kind: 'answered' }>): StatementResult {
   const { rows, signature, position } = outcome
   return { answer: { kind: 'rows', rows, signature }, position }
 }
 
-/**
- * A primary that is cut off from its replicas is replaced, or reaches them again, in a second at
- * the earliest.
- */
+/** A primary that is cut off from its replicas is replaced, or reaches them again, after one second at the earliest. */
 const UNCONFIRMED_RETRY_AFTER_MILLISECONDS = 1000
 
 function retryAfter(last: Mishap): number {
   switch (last.kind) {
-    // Once those who wait in the line are served.
+    // The forecast of when the requests in the queue are served.
     case 'overloaded':
       return Math.ceil(last.waitMilliseconds)
     case 'unconfirmed':
@@ -133,14 +130,14 @@
   }
 }
 
-/** A refusal that says why, and when to come back if nothing ran. */
+/** A refusal with its cause and, if nothing ran, a retry delay. */
 export function refused(
   request: StatementRequest,
   refusal: CallerRefusal,
   last: Mishap,
 ): StatementResult {
-  const why = last.kind === 'refused' ? last.refusal : last.kind
-  const advice = refusal === 'notRun' ? ` retry_after_ms=${String(retryAfter(last))}` : ''
-  const detail = `${request.route.name}: ${why}${advice}`
-  return { answer: { kind: 'refused', refusal, detail }, position: null, reason: why }
+  const cause = last.kind === 'refused' ? last.refusal : last.kind
+  const retryAdvice = refusal === 'notRun' ? ` retry_after_ms=${String(retryAfter(last))}` : ''
+  const detail = `${request.route.name}: ${cause}${retryAdvice}`
+  return { answer: { kind: 'refused', refusal, detail }, position: null, reason: cause }
 }
--- a/packages/host/src/transactionRunner.ts
+++ b/packages/host/src/transactionRunner.ts
@@ -1,39 +1,39 @@
 /**
- * Transactions on this host's connections: where they begin, what runs in them, and how they end. A
- * transaction belongs to one connection from its first statement to its end.
+ * Runs transactions on this host's connections. A transaction is bound to one connection from its first statement to its
+ * end.
  *
  * @internal
  */
 import { addMilliseconds, type BackendServerId } from '@nutmegcourse/shared'
 import type { SessionStatus } from '@nutmegcourse/protocol'
 import { fateOf, type Mishap, type StatementPlace } from '@nutmegcourse/state'
-import { adoptValues, attempt, runOwn, type AttemptOutcome } from './attempt.js'
+import { applySessionValues, attempt, runOwn, type AttemptOutcome } from './attempt.js'
 import type { BackendServerState } from './backendServerState.js'
 import type { HostContext } from './hostContext.js'
-import { READ_ACQUIRE_MILLISECONDS, type ServerAccess, type ServerMishap } from './serverAccess.js'
+import { READ_ACQUIRE_MILLISECONDS, type ServerAccess, type FailedAttempt } from './serverAccess.js'
 import type { PooledLink } from './pooledLink.js'
 import {
   answered,
   needsPrimary,
-  noteOwnWrite,
+  recordOwnWrite,
   refused,
-  type BegunTransaction,
+  type TransactionStep,
   type LocalTransaction,
   type StatementRequest,
 } from './statements.js'
-import { UNCONFIRMED, refusalAfter, withoutAccess, type NoAccess } from './unserved.js'
+import { UNCONFIRMED, refusalAfter, withoutAccess, type NoAccess } from './accessRefusals.js'
 import { earlier } from './waiting.js'
 
-/** What came of beginning on one server; null when none was ready. */
+/** The result of an attempt to begin a transaction on one server; null stands for no available server. */
 type BeginOutcome =
-  | ({ readonly kind: 'begun' } & BegunTransaction<LocalTransaction>)
-  | ({ readonly kind: 'mishap' } & ServerMishap)
+  | ({ readonly kind: 'begun' } & TransactionStep<LocalTransaction>)
+  | ({ readonly kind: 'mishap' } & FailedAttempt)
   | { readonly kind: 'notTried'; readonly access: NoAccess }
 
-/** A connection whose rollback is not answered by then is closed, which rolls back as well. */
-const ROLLBACK_LIMIT_MILLISECONDS = 1000
+/** A connection whose rollback is not answered within this time is closed, which rolls back as well. */
+const ROLLBACK_TIMEOUT_MILLISECONDS = 1000
 
-function lostMishap(server: BackendServerState): { kind: 'mishap' } & ServerMishap {
+function lostAttempt(server: BackendServerState): { kind: 'mishap' } & FailedAttempt {
   const outcome = {
     kind: 'mishap',
     mishap: { kind: 'lost', failure: 'connectionLost' },
@@ -52,15 +52,15 @@
     this.#access = access
   }
 
-  /** The first statement of a transaction, with the BEGIN that the caller was already told of. */
+  /** Runs the first statement of a transaction, preceded by the BEGIN that the caller already has the answer to. */
   async begin(
     request: StatementRequest,
     readOnly: boolean,
-  ): Promise<BegunTransaction<LocalTransaction>> {
+  ): Promise<TransactionStep<LocalTransaction>> {
     const excluded = new Set<BackendServerId>()
     let last: Mishap = { kind: 'notSent' }
     for (;;) {
-      if (this.#access.isOver(request)) {
+      if (this.#access.isExpired(request)) {
         return { result: refusalAfter(request, 'firstOfTransaction', last), transaction: null }
       }
       const begun = await this.#tryBegin(request, readOnly, excluded)
@@ -76,35 +76,37 @@
       if (fate.kind === 'answer') {
         return { result: refused(request, fate.refusal, last), transaction: null }
       }
-      await this.#access.leaveOut(request, begun.server, excluded)
+      await this.#access.exclude(request, begun.server, excluded)
     }
   }
 
-  /** A later statement of a transaction, the commit included. */
+  /** Runs a later statement of a transaction, the commit included. */
   async continue(
     request: StatementRequest,
     transaction: LocalTransaction,
-  ): Promise<BegunTransaction<LocalTransaction>> {
+  ): Promise<TransactionStep<LocalTransaction>> {
     const isCommit = request.statement.body.kind === 'commit'
     const place: StatementPlace = isCommit ? 'commit' : 'withinTransaction'
     const isWritten = isCommit && transaction.hasWritten
     if (isWritten && !transaction.server.mayWrite(this.#context.clock.now())) {
-      // Rolled back, nothing of it is kept; sent, its outcome would be unknown.
+      // The commit is unlikely to be confirmed: a rollback has a certain outcome, the commit would not.
       this.end(transaction, 'open')
       return { result: refused(request, 'aborted', UNCONFIRMED), transaction: null }
     }
     for (;;) {
       const sentAt = this.#context.clock.now()
       const run = (): Promise<AttemptOutcome> => this.#attemptInside(request, transaction)
-      const outcome = await (isWritten ? this.#access.confirming(transaction.server, run) : run())
+      const outcome = await (isWritten
+        ? this.#access.trackConfirmation(transaction.server, run)
+        : run())
       if (outcome.kind === 'answered') {
         return this.#transactionAnswered(request, transaction, outcome, isCommit)
       }
       const isOpen = outcome.status === 'open'
-      this.#access.learn(request, transaction.server, outcome.mishap, sentAt)
+      this.#access.recordFailure(request, transaction.server, outcome.mishap, sentAt)
       const fate = fateOf(place, outcome.mishap, isOpen)
-      if (fate.kind === 'retryHere' && !this.#access.isOver(request)) {
-        await this.#access.pauseAfter(outcome.mishap)
+      if (fate.kind === 'retryHere' && !this.#access.isExpired(request)) {
+        await this.#access.backOffAfter(outcome.mishap)
         continue
       }
       this.end(transaction, outcome.status)
@@ -113,7 +115,10 @@
     }
   }
 
-  /** Gives the connection back without the transaction. `status` is where the server left it. */
+  /**
+   * Ends the transaction and returns its connection to the pool, after a rollback if it is still open. `status` is the
+   * connection's last known session status.
+   */
   end(transaction: LocalTransaction, status: SessionStatus | null): void {
     const { server, link } = transaction
     if (status === null) {
@@ -128,7 +133,7 @@
   }
 
   async #rollBack(server: BackendServerState, link: PooledLink): Promise<void> {
-    const deadline = addMilliseconds(this.#context.clock.now(), ROLLBACK_LIMIT_MILLISECONDS)
+    const deadline = addMilliseconds(this.#context.clock.now(), ROLLBACK_TIMEOUT_MILLISECONDS)
     const reply = await runOwn(this.#context, link, { kind: 'rollback' }, deadline)
     if (reply?.outcome.kind === 'done' && reply.status === 'idle') server.pool.release(link)
     else server.pool.discard(link)
@@ -154,7 +159,7 @@
       : earlier(request.deadline, clock.now() + READ_ACQUIRE_MILLISECONDS)
     const access = await this.#access.acquire(request, server, limit)
     if (access.kind !== 'connected') {
-      const isElsewhere = !atPrimary && this.#access.passOver(request, server, excluded)
+      const isElsewhere = !atPrimary && this.#access.excludeIfReplaceable(request, server, excluded)
       return isElsewhere ? null : { kind: 'notTried', access }
     }
     const { link } = access
@@ -165,13 +170,13 @@
       return null
     }
     const transaction: LocalTransaction = { kind: 'local', desk, server, link, hasWritten: false }
-    if (!(await adoptValues(this.#context, link, session.values, request.deadline))) {
+    if (!(await applySessionValues(this.#context, link, session.values, request.deadline))) {
       server.pool.discard(link)
-      return lostMishap(server)
+      return lostAttempt(server)
     }
     const after = need?.kind === 'position' ? need.position : null
     if (after !== null) server.progress.noteAsked(after, sentAt)
-    // The statement waits for this answer: behind a refused BEGIN it would run by itself.
+    // The statement is sent only after this answer: after a refused BEGIN it would run outside a transaction.
     const begun = await runOwn(
       this.#context,
       link,
@@ -180,7 +185,7 @@
     )
     if (begun === null) {
       server.pool.discard(link)
-      return lostMishap(server)
+      return lostAttempt(server)
     }
     if (begun.outcome.kind === 'refused') {
       this.end(transaction, begun.status)
@@ -191,8 +196,8 @@
         status: begun.status,
         position: begun.position,
       } as const
-      this.#access.noteReach(server, after, outcome)
-      this.#access.learn(request, server, outcome.mishap, sentAt)
+      this.#access.recordProgress(server, after, outcome)
+      this.#access.recordFailure(request, server, outcome.mishap, sentAt)
       return { kind: 'mishap', outcome, server }
     }
     if (atPrimary) desk.provedToLead(server.entry.server, sentAt, begun.position)
@@ -213,7 +218,7 @@
         ...this.#transactionAnswered(request, transaction, outcome, false),
       }
     }
-    this.#access.learn(request, transaction.server, outcome.mishap, sentAt)
+    this.#access.recordFailure(request, transaction.server, outcome.mishap, sentAt)
     this.end(transaction, outcome.status)
     return { kind: 'mishap', outcome, server: transaction.server }
   }
@@ -229,7 +234,7 @@
       statement: request.statement,
       after: null,
       isInTransaction: true,
-      confirmsLead: false,
+      verifiesPrimary: false,
       deadline: request.deadline,
     })
   }
@@ -239,8 +244,8 @@
     transaction: LocalTransaction,
     outcome: Extract<AttemptOutcome, { kind: 'answered' }>,
     isCommit: boolean,
-  ): BegunTransaction<LocalTransaction> {
-    if (isCommit) noteOwnWrite(request, outcome.position)
+  ): TransactionStep<LocalTransaction> {
+    if (isCommit) recordOwnWrite(request, outcome.position)
     if (outcome.status === 'open') return { result: answered(outcome), transaction }
     this.end(transaction, outcome.status)
     return { result: answered(outcome), transaction: null }
--- a/packages/host/src/waiting.ts
+++ b/packages/host/src/waiting.ts
@@ -1,11 +1,11 @@
 /**
- * Waiting with a limit.
+ * Cancellable delays, deadlines for promises, and a signal that waiters wait for with a timeout.
  *
  * @internal
  */
 import { milliseconds, type Clock, type Milliseconds } from '@nutmegcourse/shared'
 
-/** A timer that can be given up. */
+/** A delay that can be cancelled. After that, `over` never resolves. */
 export interface Pause {
   readonly over: Promise<void>
   cancel(): void
@@ -28,7 +28,7 @@
 
 export const OVERDUE = Symbol('overdue')
 
-/** The value, or `OVERDUE` when it has not come by `deadline`. */
+/** The resolved value, or `OVERDUE` if the promise has not settled by `deadline`. */
 export async function within<Value>(
   value: Promise<Value>,
   deadline: Milliseconds,
@@ -40,23 +40,23 @@
   return first
 }
 
-/** Wakes whoever waits for news, with a limit for each. */
+/** Wakes all current waiters when raised; each waits with a timeout of its own. */
 export class Signal {
   #waiting = new Set<() => void>()
 
-  /** Whether anybody waits for news. */
+  /** Whether there are waiters. */
   get isAwaited(): boolean {
     return this.#waiting.size > 0
   }
 
-  /** Wakes all who wait now. */
+  /** Wakes all current waiters. */
   raise(): void {
     const waiting = this.#waiting
     this.#waiting = new Set()
     for (const wake of waiting) wake()
   }
 
-  /** Resolves at the next `raise`, at the latest after `span` milliseconds. */
+  /** Resolves at the next `raise`, or after `span` milliseconds at the latest. */
   wait(span: number): Promise<void> {
     return new Promise(resolve => {
       const wake = () => {
