--- a/packages/host/__tests__/customers.spec.ts
+++ b/packages/host/__tests__/customers.spec.ts
@@ -15,11 +15,11 @@
 const ALFA = customer('alfa', ['key-of-alfa'])
 const BRAVO = customer('bravo', ['key-of-bravo'])
 
-const inOneHost = (story: (scene: Scene, host: SceneHost) => Promise<void>): Promise<void> =>
+const withOneHost = (scenario: (scene: Scene, host: SceneHost) => Promise<void>): Promise<void> =>
   inScene(
     1,
     async (scene, [host]) => {
-      if (host !== undefined) await story(scene, host)
+      if (host !== undefined) await scenario(scene, host)
     },
     { customers: [ALFA, BRAVO] },
   )
@@ -33,57 +33,57 @@
   scene.configure({ version, customers })
   const hasTaken = ({ lines }: SceneHost): boolean =>
     lines.some(({ event, fields }) => event === 'configuration_taken' && fields.version === version)
-  await scene.until(() => hosts.every(hasTaken), 'every host has the configuration')
+  await scene.until(() => hosts.every(hasTaken), 'every host has applied the configuration')
 }
 
-describe('a caller’s key', () => {
+describe('the key of a caller', () => {
   const cases: readonly (readonly [string, string, string, string])[] = [
     ['of a customer', 'own', 'key-of-alfa', 'welcome'],
     ['of nobody', 'own', 'key-of-nobody', 'unknownKey'],
     ['empty', 'own', '', 'unknownKey'],
     ['of a customer, for a database that is not there', 'none', 'key-of-alfa', 'unknownDatabase'],
   ]
-  for (const [name, database, key, told] of cases) {
-    it(`${name}: ${told}`, async () => {
-      await inOneHost(async (_scene, { host }) => {
-        expect(await new Caller(host).connect(database, key)).toEqual(told)
+  for (const [name, database, key, outcome] of cases) {
+    it(`${name}: ${outcome}`, async () => {
+      await withOneHost(async (_scene, { host }) => {
+        expect(await new Caller(host).connect(database, key)).toEqual(outcome)
       })
     })
   }
 
-  it('is not asked for where the route serves everyone', async () => {
-    await inOneHost(async (scene, host) => {
+  it('is not checked for a public route', async () => {
+    await withOneHost(async (scene, host) => {
       const routes = CONFIGURATION.routes.map(route => ({ ...route, isPublic: true }))
       scene.configure({ version: 2, routes, customers: [ALFA] })
-      await scene.until(() => host.host.find('own')?.route.isPublic === true, 'it is public')
+      await scene.until(() => host.host.find('own')?.route.isPublic === true, 'the route is public')
       const caller = await scene.caller(host, 'own', 'key-of-nobody')
       expect(await caller.tell('read 1')).toEqual('done')
     })
   })
 
-  // A key is taken away while its callers stay connected. Their sessions were served on for as long as they lasted.
-  it('that was taken away serves no further operation of open sessions', async () => {
-    await inOneHost(async (scene, host) => {
-      const gone = await scene.caller(host, 'own', 'key-of-alfa')
-      const stays = await scene.caller(host, 'own', 'key-of-bravo')
+  // Guards against open sessions that continue to be served after their key was revoked.
+  it('that was revoked authorizes no further operation of open sessions', async () => {
+    await withOneHost(async (scene, host) => {
+      const revoked = await scene.caller(host, 'own', 'key-of-alfa')
+      const unaffected = await scene.caller(host, 'own', 'key-of-bravo')
       await changeCustomers(scene, [host], [customer('alfa', []), BRAVO])
-      const told = [
-        await gone.tell('read 1'),
-        await gone.tell('write 1'),
-        await stays.tell('read 1'),
+      const outcomes = [
+        await revoked.tell('read 1'),
+        await revoked.tell('write 1'),
+        await unaffected.tell('read 1'),
       ]
-      expect(told).toEqual(['unknownKey', 'unknownKey', 'done'])
+      expect(outcomes).toEqual(['unknownKey', 'unknownKey', 'done'])
     })
   })
 
-  const moved: readonly (readonly [string, readonly Customer[]])[] = [
-    ['taken away', [customer('alfa', []), BRAVO]],
-    ['given to another customer', [customer('bravo', ['key-of-alfa'])]],
+  const keyChanges: readonly (readonly [string, readonly Customer[]])[] = [
+    ['revoked', [customer('alfa', []), BRAVO]],
+    ['assigned to another customer', [customer('bravo', ['key-of-alfa'])]],
   ]
-  for (const [name, customers] of moved) {
-    // What the transaction wrote must not be kept in the name of a customer that may not write any more.
-    it(`${name} ends open transactions, and nothing of them is kept`, async () => {
-      await inOneHost(async (scene, host) => {
+  for (const [name, customers] of keyChanges) {
+    // A transaction must not be committed for a customer that is no longer allowed to write.
+    it(`that was ${name} aborts open transactions`, async () => {
+      await withOneHost(async (scene, host) => {
         const caller = await scene.caller(host, 'own', 'key-of-alfa')
         expect([await caller.tell('begin'), await caller.tell('write 1')]).toEqual(['done', 'done'])
         await changeCustomers(scene, [host], customers)
@@ -94,12 +94,12 @@
   }
 })
 
-describe('a host that cannot have heard of a key taken away', () => {
+describe('a host that may not have received a key revocation', () => {
   const cases: readonly (readonly [string, number | undefined, string])[] = [
-    ['refuses it where the settings are strict', 2000, 'notRun'],
-    ['serves it where they are not', undefined, 'done'],
+    ['refuses the key if revocation is strict', 2000, 'notRun'],
+    ['accepts the key if revocation is not strict', undefined, 'done'],
   ]
-  for (const [name, strictRevocation, told] of cases) {
+  for (const [name, strictRevocation, outcome] of cases) {
     it(name, async () => {
       const options = {
         customers: [ALFA],
@@ -112,7 +112,7 @@
         expect(await caller.tell('read 1')).toEqual('done')
         host.store.mood = 'refusing'
         await new Promise(resolve => setTimeout(resolve, 4000))
-        expect(await caller.tell('read 1')).toEqual(told)
+        expect(await caller.tell('read 1')).toEqual(outcome)
         host.store.mood = 'well'
         await new Promise(resolve => setTimeout(resolve, 1500))
         expect(await caller.tell('read 1')).toEqual('done')
@@ -122,9 +122,9 @@
 })
 
 describe('connections by customer', () => {
-  // Few connections, many customers, hosts that run statements for each other. A statement that runs on a connection
-  // of another customer runs in the wrong name.
-  it('run statements of their own customer only', async () => {
+  // Few connections, many customers, and hosts that relay statements to each other. A statement that ran on a connection
+  // of another customer would run with that customer's identity.
+  it('run only statements of their own customer', async () => {
     const names = ['alfa', 'bravo', 'carol', 'delta', 'echo', 'foxtrot', 'golf', 'hotel']
     const customers = names.map(name => customer(name, [`key-of-${name}`]))
     const options = { customers, connectionLimit: 12, relayPorts: await freePorts(3) }
@@ -152,9 +152,9 @@
     }
   })
 
-  // A connection that was closed to make room had more closed and opened for the same statement, one after the other:
-  // nearly every request of a busy day found its customer's connection gone.
-  it('are closed one for one that is needed', async () => {
+  // Guards against closing several connections for one waiting statement: each closed connection caused the next one to
+  // be closed and opened, and under load nearly every request found its customer's connection closed.
+  it('are replaced at most once for each statement that needs one', async () => {
     const names = ['alfa', 'bravo', 'carol', 'delta', 'echo', 'foxtrot', 'golf']
     const customers = names.map(name => customer(name, [`key-of-${name}`]))
     await inScene(1, oneAfterTheOther, { customers, connectionLimit: 10 })
@@ -168,9 +168,9 @@
     }
   })
 
-  // One customer keeps every connection of a host busy without a pause. Work of the other one was passed over each
-  // time a connection came free, for as long as the first went on.
-  it('of a busy customer make room for the work of others', async () => {
+  // Guards against starvation: while one customer kept every connection of a host busy, requests of another customer
+  // were overtaken each time a connection was released.
+  it('of a busy customer are released for requests of others', async () => {
     const options = { customers: [ALFA, BRAVO], connectionLimit: 4 }
     await inScene(1, busyCustomer, options)
     async function busyCustomer(scene: Scene, [host]: readonly SceneHost[]): Promise<void> {
@@ -184,51 +184,53 @@
       await new Promise(resolve => setTimeout(resolve, 200))
       const caller = await scene.caller(host, 'latest', 'key-of-bravo')
       const askedAt = performance.now()
-      const told = await caller.tell('write 1')
-      const took = performance.now() - askedAt
+      const outcome = await caller.tell('write 1')
+      const elapsed = performance.now() - askedAt
       isOver = true
       await Promise.all(busy)
-      expect([told, took < 400]).toEqual(['done', true])
+      expect([outcome, elapsed < 400]).toEqual(['done', true])
     }
   })
 })
 
-describe('a customer’s limit', () => {
+describe('the limit of a customer', () => {
   const TOLERANCE = { windowMilliseconds: 5000, overage: 0.1, slack: 20 }
   const LIMIT = { operationsPerSecond: 4, burst: 4 }
   const LIMITED = customer('alfa', ['key-of-alfa'], LIMIT)
 
-  const inThree = async (
-    story: (scene: Scene, hosts: readonly SceneHost[]) => Promise<void>,
+  const withThreeHosts = async (
+    scenario: (scene: Scene, hosts: readonly SceneHost[]) => Promise<void>,
   ): Promise<void> =>
-    inScene(3, story, {
+    inScene(3, scenario, {
       customers: [LIMITED, BRAVO],
       limitTolerance: TOLERANCE,
       relayPorts: await freePorts(3),
     })
 
-  async function askAt(scene: Scene, host: SceneHost, key: string, times: number) {
+  async function countServed(scene: Scene, host: SceneHost, key: string, times: number) {
     const caller = await scene.caller(host, 'own', key)
-    const told: string[] = []
-    for (let count = 0; count < times; count += 1) told.push(await caller.tell('read 1'))
-    return told.filter(each => each === 'done').length
+    const outcomes: string[] = []
+    for (let count = 0; count < times; count += 1) outcomes.push(await caller.tell('read 1'))
+    return outcomes.filter(each => each === 'done').length
   }
 
-  // Callers of one customer come to every host. Each host by itself cannot know what the others let through.
-  it('holds for all hosts together, and for nobody else', async () => {
-    await inThree(async (scene, hosts) => {
+  // Callers of one customer connect to every host, and no host knows by itself how many operations the others admit.
+  it('applies to all hosts together and to no other customer', async () => {
+    await withThreeHosts(async (scene, hosts) => {
       const [first] = hosts
       if (first === undefined) return
-      const served = await Promise.all(hosts.map(host => askAt(scene, host, 'key-of-alfa', 30)))
+      const served = await Promise.all(
+        hosts.map(host => countServed(scene, host, 'key-of-alfa', 30)),
+      )
       const sum = served.reduce((left, right) => left + right, 0)
-      const most = (LIMIT.operationsPerSecond * 5 + LIMIT.burst) * 1.1 + TOLERANCE.slack
-      expect(sum > 0 && sum <= most).toEqual(true)
-      expect(await askAt(scene, first, 'key-of-bravo', 30)).toEqual(30)
+      const maximum = (LIMIT.operationsPerSecond * 5 + LIMIT.burst) * 1.1 + TOLERANCE.slack
+      expect(sum > 0 && sum <= maximum).toEqual(true)
+      expect(await countServed(scene, first, 'key-of-bravo', 30)).toEqual(30)
     })
   })
 
-  it('counts a transaction once, and says when to come back', async () => {
-    await inThree(async (scene, [host]) => {
+  it('counts a transaction once, and its refusal gives a retry delay', async () => {
+    await withThreeHosts(async (scene, [host]) => {
       if (host === undefined) return
       const caller = await scene.caller(host, 'own', 'key-of-alfa')
       expect([await caller.tell('begin'), await caller.tell('read 1')]).toEqual(['done', 'done'])
@@ -246,20 +248,20 @@
     })
   })
 
-  // The hosts that hold two of three parts are gone without a word. What is left of the limit must go on being served.
-  it('leaves a part of it to be served when hosts are gone', async () => {
-    await inThree(async (scene, hosts) => {
+  // The hosts that hold two of the three parts of the limit crash. Operations must still be granted from the third part.
+  it('still admits operations after the loss of hosts that hold parts of it', async () => {
+    await withThreeHosts(async (scene, hosts) => {
       const [left, ...others] = hosts
       if (left === undefined) return
       for (const { host } of others) host.close()
-      expect((await askAt(scene, left, 'key-of-alfa', 30)) > 0).toEqual(true)
+      expect((await countServed(scene, left, 'key-of-alfa', 30)) > 0).toEqual(true)
     })
   })
 })
 
 describe('keys', () => {
-  // A key in a log line or in a message between hosts is a key for whoever reads it.
-  it('stand in no log line', async () => {
+  // A key in a log line could be used by anyone who reads the log.
+  it('do not appear in log lines', async () => {
     const options = { customers: [ALFA, BRAVO], relayPorts: await freePorts(2) }
     await inScene(
       2,
--- a/packages/host/__tests__/hostLife.spec.ts
+++ b/packages/host/__tests__/hostLife.spec.ts
@@ -4,12 +4,12 @@
 import { Caller } from './support/caller.js'
 import { CONFIGURATION, P, inScene, type Scene, type SceneHost } from './support/scene.js'
 
-const STANDSTILL = 400
+const STALL_MILLISECONDS = 400
 
 const wait = (span: number): Promise<void> => new Promise(resolve => setTimeout(resolve, span))
 
-/** A caller that has rested inside a transaction for longer than it may. */
-async function restInTransaction(scene: Scene, host: SceneHost): Promise<Caller> {
+/** A caller that has been idle in a transaction for longer than the idle timeout. */
+async function idleInTransaction(scene: Scene, host: SceneHost): Promise<Caller> {
   scene.store.configure({ ...CONFIGURATION, version: 2, idleTransactionMilliseconds: 100 })
   await scene.until(() => host.host.idleTransactionMilliseconds === 100, 'it is in force')
   const caller = await scene.caller(host, 'own')
@@ -19,39 +19,42 @@
   return caller
 }
 
-describe('life of an entry host', () => {
-  // The host starts while the store is away. It must not say that it is ready, and a caller hears
-  // within its patience that it has to come back; once the store answers, all is well.
-  it('starts without the store', async () => {
+describe('the lifecycle of an entry host', () => {
+  // The host starts while the store is unavailable. It must not report that it is ready, and must reject a caller before
+  // the caller's connection timeout; once the store answers, it must serve normally.
+  it('starts while the store is unavailable and serves once it answers', async () => {
     await inScene(0, async scene => {
       const store = new StoreConnection(scene.store)
       store.mood = 'refusing'
-      const made = scene.add('host-1', 1000, store)
-      const caller = new Caller(made.host)
-      expect(made.host.isReady).toEqual(false)
+      const added = scene.add('host-1', 1000, store)
+      const caller = new Caller(added.host)
+      expect(added.host.isReady).toEqual(false)
       expect(await caller.connect('own')).toEqual('tooManyCallers')
       store.mood = 'well'
       await scene.ready()
-      expect(await (await scene.caller(made, 'own')).tell('write 1')).toEqual('done')
+      expect(await (await scene.caller(added, 'own')).tell('write 1')).toEqual('done')
     })
   })
 
-  // Guards against a standstill that no line tells of: others give a silent host up, and nobody knew why.
-  it('says that it stood still, and for how long', async () => {
+  // Guards against stalls that are not logged: other hosts consider a stalled host lost, and the cause was not visible.
+  it('logs a stall of its process and how long it took', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
-      const until = performance.now() + STANDSTILL
+      const until = performance.now() + STALL_MILLISECONDS
       while (performance.now() < until);
-      const told = (): number[] =>
+      const loggedStalls = (): number[] =>
         host.lines
           .filter(({ event }) => event === 'stood_still')
           .map(({ fields }) => Number(fields.milliseconds))
-      await scene.until(() => told().some(span => span >= STANDSTILL), 'it says so')
+      await scene.until(
+        () => loggedStalls().some(span => span >= STALL_MILLISECONDS),
+        'the stall is logged',
+      )
     })
   })
 
-  // The store goes away for longer than any lease. Callers notice nothing.
-  it('serves on what it knew while the store is away', async () => {
+  // The store stops answering. Callers must not be affected.
+  it('continues to serve with its last state while the store is unavailable', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
       const caller = await scene.caller(host, 'own')
@@ -62,9 +65,9 @@
     })
   })
 
-  // The history behind a host's revision is dropped while it heard nothing. What was changed
-  // meanwhile must be in force afterwards, what was removed must be gone, and nothing goes back.
-  it('lists again when the history is gone', async () => {
+  // The store discards the history after the host's revision while the host is disconnected. Afterwards changes and
+  // removals made meanwhile must be applied, and no older configuration may replace a newer one.
+  it('lists the store again when the history has been compacted', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
       host.store.mood = 'refusing'
@@ -85,9 +88,8 @@
     })
   })
 
-  // A route is dropped while a session is open. Its next statement is refused, in the middle of
-  // nothing else; a transaction that runs already may end.
-  it('drops a route at the next transaction', async () => {
+  // A route is removed while a session is open. A running transaction may still commit; the next statement is refused.
+  it('applies the removal of a route from the next transaction on', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
       const caller = await scene.caller(host, 'own')
@@ -100,21 +102,21 @@
     })
   })
 
-  // The host is told to stop. Idle sessions are closed, a statement that runs ends, an open
-  // transaction gets half of the grace and is then rolled back.
-  it('stops gracefully', async () => {
+  // On a planned stop idle sessions are closed, running statements finish, and open transactions are rolled back after
+  // half of the grace period.
+  it('closes idle sessions and lets short transactions commit when it stops', async () => {
     await inScene(0, async scene => {
-      const made = scene.add('host-1', 2000)
+      const added = scene.add('host-1', 2000)
       await scene.ready()
-      const idle = await scene.caller(made, 'own')
-      const brief = await scene.caller(made, 'own')
-      const endless = await scene.caller(made, 'own')
+      const idle = await scene.caller(added, 'own')
+      const brief = await scene.caller(added, 'own')
+      const endless = await scene.caller(added, 'own')
       for (const caller of [brief, endless]) {
         await caller.tell('begin')
         await caller.tell('write 1')
       }
-      const stopped = made.host.stop()
-      expect(made.host.isReady).toEqual(false)
+      const stopped = added.host.stop()
+      expect(added.host.isReady).toEqual(false)
       await wait(200)
       expect(await brief.tell('commit')).toEqual('done')
       await stopped
@@ -123,23 +125,23 @@
     })
   })
 
-  // A planned stop cut statements that servers had run. Callers went on reaching the host after it had
-  // sent those away that it had; nobody sent the new ones away, so they worked up to the end of the
-  // process. The lines showed it: of 26 cut sessions all were taken 2,279 to 3,593 ms after the signal,
-  // sent away were those of the first 1,000 ms, and none was owed for longer than 54 ms.
-  it('has answered everything when it has stopped, also to callers that came late', async () => {
+  // A planned stop cut off statements that servers had already run. Callers that connected after the existing sessions had
+  // been closed were not closed themselves and worked until the process ended: all of 26 cut sessions had been accepted
+  // 2,279 to 3,593 ms after the signal, while only sessions of the first 1,000 ms were closed, and no answer had been
+  // pending for longer than 54 ms.
+  it('has answered every statement when it has stopped, including those of callers that connected late', async () => {
     await inScene(0, async scene => {
-      const made = scene.add('host-1', 2000)
+      const added = scene.add('host-1', 2000)
       await scene.ready()
       scene.dialer.hooks.workMilliseconds = 120
-      const stopped = made.host.stop()
+      const stopped = added.host.stop()
       let owed = 0
       let isOver = false
       const goesOn = (): boolean => !isOver
       const work = async (): Promise<void> => {
         while (goesOn()) {
           await wait(10)
-          const caller = new Caller(made.host)
+          const caller = new Caller(added.host)
           if ((await caller.connect('own')) !== 'welcome') continue
           while (!caller.isClosed && goesOn()) {
             owed += 1
@@ -158,94 +160,93 @@
     })
   })
 
-  // A caller came to the stopping host and began a transaction a moment before half of the grace was
-  // over. It was rolled back then, under its commit, although the host lived on for as long again:
-  // "the transaction was rolled back" to commits owed for 16 to 21 ms, amid nothing but planned work.
-  it('lets a transaction end that began while it stopped', async () => {
+  // A caller connected to the stopping host and began a transaction shortly before half of the grace period had passed.
+  // The transaction was rolled back at that point, during its commit, although the process ran for as long again: commits
+  // pending for 16 to 21 ms were refused with "the transaction was rolled back".
+  it('lets a transaction commit that began while the host was stopping', async () => {
     await inScene(0, async scene => {
-      const made = scene.add('host-1', 4000)
+      const added = scene.add('host-1', 4000)
       await scene.ready()
-      const busy = await scene.caller(made, 'own')
+      const busy = await scene.caller(added, 'own')
       await busy.tell('begin')
-      const stopped = made.host.stop()
+      const stopped = added.host.stop()
       await wait(1900)
-      const late = await scene.caller(made, 'own')
-      const told = [await late.tell('begin'), await late.tell('write 1')]
+      const late = await scene.caller(added, 'own')
+      const outcomes = [await late.tell('begin'), await late.tell('write 1')]
       await wait(300)
-      expect([...told, await late.tell('commit')]).toEqual(['done', 'done', 'done'])
+      expect([...outcomes, await late.tell('commit')]).toEqual(['done', 'done', 'done'])
       await busy.tell('rollback')
       await stopped
       expect(late.isClosed).toEqual(true)
     })
   })
 
-  // The time of transactions is over while a statement runs in one. It was passed over then, went on to
-  // the end of the process, and its commit was cut there.
-  it('ends a transaction behind the statement that ran when its time was over', async () => {
+  // The time for open transactions ends while a statement runs in one. That transaction was skipped, stayed open until
+  // the process ended, and its commit was cut off.
+  it('ends a transaction after the statement that was running when its time ended', async () => {
     await inScene(0, async scene => {
-      const made = scene.add('host-1', 2000)
+      const added = scene.add('host-1', 2000)
       await scene.ready()
-      const caller = await scene.caller(made, 'own')
+      const caller = await scene.caller(added, 'own')
       await caller.tell('begin')
       await caller.tell('write 1')
       scene.dialer.hooks.workMilliseconds = 400
-      const stopped = made.host.stop()
+      const stopped = added.host.stop()
       await wait(800)
-      const told = [await caller.tell('write 2'), await caller.tell('commit')]
-      expect(told).toEqual(['done', 'aborted'])
+      const outcomes = [await caller.tell('write 2'), await caller.tell('commit')]
+      expect(outcomes).toEqual(['done', 'aborted'])
       await stopped
       expect(scene.group.acknowledged).toEqual([])
     })
   })
 
-  // A second signal to stop came while the first was still being followed. The host took its second
-  // word for the end of the first and ended at once, under the statements that ran.
-  it('does not end sooner when it is told twice to stop', async () => {
+  // A second stop signal arrived during the planned stop. The second call returned as if the stop had completed, and the
+  // process ended while statements were running.
+  it('does not stop sooner when it is signalled twice', async () => {
     await inScene(0, async scene => {
-      const made = scene.add('host-1', 2000)
+      const added = scene.add('host-1', 2000)
       await scene.ready()
-      const caller = await scene.caller(made, 'own')
+      const caller = await scene.caller(added, 'own')
       scene.dialer.hooks.workMilliseconds = 300
       const asked = caller.tell('write 1')
       await wait(20)
       const order: string[] = []
-      const stops = [made.host.stop(), made.host.stop()].map(stop =>
+      const stops = [added.host.stop(), added.host.stop()].map(stop =>
         stop.then(() => order.push('stopped')),
       )
-      void asked.then(how => order.push(how))
+      void asked.then(outcome => order.push(outcome))
       await Promise.all(stops)
       expect(order).toEqual(['done', 'stopped', 'stopped'])
     })
   })
 
-  // A caller rests inside a transaction and holds a scarce connection. After the configured time the
-  // transaction is rolled back; the caller learns of it with its next statement and can go on.
-  it('ends a transaction that rests too long', async () => {
+  // A caller that is idle in a transaction holds a scarce connection. After the idle timeout the transaction must be
+  // rolled back; the caller is informed with its next statement and can continue.
+  it('rolls back a transaction that exceeds the idle timeout', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
-      const caller = await restInTransaction(scene, host)
-      const told = [await caller.tell('commit'), await caller.tell('write 1')]
-      expect(told).toEqual(['aborted', 'done'])
+      const caller = await idleInTransaction(scene, host)
+      const outcomes = [await caller.tell('commit'), await caller.tell('write 1')]
+      expect(outcomes).toEqual(['aborted', 'done'])
     })
   })
 
-  // The same, and the caller asks for something else before the commit. It was told "malformed", which
-  // says nothing of what is kept: the first it heard of the end of its transaction was no promise.
-  it('tells a caller whose transaction it ended that nothing is kept, once', async () => {
+  // As above, but the caller sends another statement before the commit. The answer was "malformed", which does not tell
+  // that nothing was kept; the first answer after the rollback must be "aborted".
+  it('refuses the first statement after ending an idle transaction with "aborted", and later ones with "malformed"', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
-      const caller = await restInTransaction(scene, host)
-      const told: string[] = []
+      const caller = await idleInTransaction(scene, host)
+      const outcomes: string[] = []
       for (const text of ['write 2', 'read 1', 'rollback', 'write 3'])
-        told.push(await caller.tell(text))
-      expect(told).toEqual(['aborted', 'malformed', 'done', 'done'])
+        outcomes.push(await caller.tell(text))
+      expect(outcomes).toEqual(['aborted', 'malformed', 'done', 'done'])
       expect(scene.group.acknowledged.length).toEqual(1)
     })
   })
 
-  // Entries of servers lapse while the store is away, and are back a moment later. Nobody may be
-  // refused meanwhile; one that stays away is left alone.
-  it('keeps servers whose entries lapse for a moment', async () => {
+  // Entries of servers expire during a store outage and return shortly afterwards. No statement may be refused meanwhile.
+  it('keeps using servers whose entries expire briefly', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
       const caller = await scene.caller(host, 'latest')
@@ -258,8 +259,8 @@
     })
   })
 
-  // Hosts make few calls to a store whose rates do not grow with the fleet: at rest, one watch each.
-  it('makes few calls to the store at rest', async () => {
+  // The store's call rates do not grow with the fleet, so an idle host may only keep its one watch open.
+  it('makes no store calls but its watch while idle', async () => {
     await inScene(3, async scene => {
       await wait(300)
       const before = [...scene.store.calls].filter(([name]) => name !== 'watch')
--- a/packages/host/__tests__/relay.spec.ts
+++ b/packages/host/__tests__/relay.spec.ts
@@ -4,17 +4,17 @@
 import type { Caller } from './support/caller.js'
 import { P, inScene, type Scene, type SceneHost } from './support/scene.js'
 
-/** Too few connections for three hosts, so that one of them holds them all. */
-const FEW_CONNECTIONS = 5
+/** Too few connections to divide among three hosts, so one host holds all of them. */
+const CONNECTION_LIMIT = 5
 
-/** A full server gave a host its first connection to none. */
+/** A full server rejected a connection of a host that holds no other one. */
 const isDenied = ({ event, fields }: SceneHost['lines'][number]): boolean =>
   event === 'connection_not_opened' && fields.held === 0
 
-async function inCrowd(
-  story: (scene: Scene, owner: SceneHost, other: SceneHost) => Promise<void>,
+async function withOneOwner(
+  scenario: (scene: Scene, owner: SceneHost, other: SceneHost) => Promise<void>,
 ): Promise<void> {
-  const options = { connectionLimit: FEW_CONNECTIONS, relayPorts: await freePorts(3) }
+  const options = { connectionLimit: CONNECTION_LIMIT, relayPorts: await freePorts(3) }
   await inScene(
     3,
     async (scene, hosts) => {
@@ -23,16 +23,16 @@
       const [owner] = owners()
       const other = hosts.find(each => each !== owner)
       if (owner === undefined || other === undefined) throw new Error('no owner')
-      await story(scene, owner, other)
+      await scenario(scene, owner, other)
     },
     options,
   )
 }
 
-describe('a host that is cut off from the primary', () => {
-  // A cut separates one host from the primary; the others reach it. Its callers' writes go through
-  // them, and the primary stays: moving it would cut the others off from the new one.
-  it('writes through hosts that reach it, and leaves the primary where it is', async () => {
+describe('a host that can not reach the primary', () => {
+  // A network partition separates one host from the primary; the others reach it. The writes of this host's callers must
+  // be relayed through them, without a change of primary, which would affect every host.
+  it('relays writes through hosts that reach the primary, without a change of primary', async () => {
     await inScene(
       3,
       async (scene, [host]) => {
@@ -47,8 +47,8 @@
         }
         expect(served > 40).toEqual(true)
         expect(scene.group.promotions).toEqual(0)
-        const told = [await caller.tell('begin'), await caller.tell('write 2')]
-        expect([...told, await caller.tell('commit')]).toEqual(['done', 'done', 'done'])
+        const outcomes = [await caller.tell('begin'), await caller.tell('write 2')]
+        expect([...outcomes, await caller.tell('commit')]).toEqual(['done', 'done', 'done'])
       },
       { relayPorts: await freePorts(3) },
     )
@@ -56,11 +56,10 @@
 })
 
 describe('a service with fewer connections than hosts', () => {
-  // An owner registers again, because its lease had lapsed, or takes its record back, because it is
-  // to stop. It still runs what others handed to it; they closed their connections to it when they
-  // heard, and told their callers that the outcome of writes was unknown, 39 of them in one return
-  // from an outage of the store.
-  const news: readonly (readonly [string, (scene: Scene, owner: string) => void])[] = [
+  // An owner registers again because its lease expired, or removes its record because it is to stop. Meanwhile it still
+  // runs relayed statements. The other hosts closed their connections to it on receiving the change, and refused the
+  // pending writes with an unknown outcome, 39 of them in one recovery from a store outage.
+  const recordChanges: readonly (readonly [string, (scene: Scene, owner: string) => void])[] = [
     [
       'registers again',
       ({ store }, owner) => {
@@ -70,33 +69,33 @@
       },
     ],
     [
-      'takes its record back',
+      'removes its record',
       ({ store }, owner) => {
         store.revoke(`host/${owner}`)
       },
     ],
   ]
-  for (const [what, tell] of news) {
-    it(`is answered for what an owner runs while that ${what}`, async () => {
-      await inCrowd(async (scene, owner, other) => {
+  for (const [what, change] of recordChanges) {
+    it(`receives the answers of an owner that ${what} meanwhile`, async () => {
+      await withOneOwner(async (scene, owner, other) => {
         const caller = await scene.caller(other, 'own')
         await caller.tell('write 1')
-        // News gather after those of the start.
+        // Changes are batched after those of the start.
         await new Promise(resolve => setTimeout(resolve, 1200))
         scene.dialer.hooks.workMilliseconds = 300
         const asked = caller.tell('write 2')
         await new Promise(resolve => setTimeout(resolve, 50))
-        tell(scene, owner.host.name)
+        change(scene, owner.host.name)
         expect(await asked).toEqual('done')
       })
     })
   }
 
-  it('is served at every host through the one that holds the connections', async () => {
-    await inCrowd(async (scene, _owner, other) => {
+  it('is served on every host through the one that holds the connections', async () => {
+    await withOneOwner(async (scene, _owner, other) => {
       const caller = await scene.caller(other, 'own')
-      const told: string[] = []
-      const said = [
+      const outcomes: string[] = []
+      const statements = [
         'set colour red',
         'prepare s write',
         'execute s 1',
@@ -104,20 +103,20 @@
         'begin',
         'write 1',
       ]
-      for (const text of [...said, 'read 2', 'commit', 'begin', 'rollback', 'read 1']) {
-        told.push(await caller.tell(text))
+      for (const text of [...statements, 'read 2', 'commit', 'begin', 'rollback', 'read 1']) {
+        outcomes.push(await caller.tell(text))
       }
-      expect(told.filter(how => how !== 'done')).toEqual([])
+      expect(outcomes.filter(outcome => outcome !== 'done')).toEqual([])
       expect(scene.group.acknowledged.length).toEqual(2)
       const held = [...scene.dialer.links].filter(link => link.isOpen && link.values.size > 0)
       expect(held.every(link => link.values.get('colour') === 'red')).toEqual(true)
     })
   })
 
-  // A session writes through the owner and reads through it again. The position of its own write
-  // lives with the session's host, whichever owner serves the next statement.
-  it('keeps the session position across the hop', async () => {
-    await inCrowd(async (scene, _owner, other) => {
+  // A session writes and then reads through the owner. The position of its own write must be kept by the session's host,
+  // whichever owner serves the next statement.
+  it('preserves the position of a session’s own write across the relay', async () => {
+    await withOneOwner(async (scene, _owner, other) => {
       const caller = await scene.caller(other, 'own')
       for (const server of scene.group.servers.values()) {
         if (server.role === 'replica' && server.id !== 'i-b') server.isDeaf = true
@@ -131,19 +130,18 @@
   })
 
   /**
-   * Story of each: the host that holds the connections dies. A transaction that it ran is gone and
-   * nothing of it kept; of a write or commit on its way nobody knows; and the next statement is
-   * served by whoever takes its place.
+   * In each case the host that holds the connections crashes. A transaction that it ran must be aborted, the outcome of a
+   * write or commit in flight must be unknown, and the next statement must be served by another host.
    */
-  const deaths: readonly (readonly [string, readonly string[], string, string])[] = [
+  const crashes: readonly (readonly [string, readonly string[], string, string])[] = [
     ['inside a transaction', ['begin', 'write 1'], 'write 2', 'aborted'],
-    ['under a commit', ['begin', 'write 1'], 'commit', 'outcomeUnknown'],
-    ['under a write', [], 'write 1', 'outcomeUnknown'],
-    ['under a read', [], 'read 1', 'done'],
+    ['during a commit', ['begin', 'write 1'], 'commit', 'outcomeUnknown'],
+    ['during a write', [], 'write 1', 'outcomeUnknown'],
+    ['during a read', [], 'read 1', 'done'],
   ]
-  for (const [name, before, text, expected] of deaths) {
-    it(`loses its owner ${name}`, async () => {
-      await inCrowd(async (scene, owner, other) => {
+  for (const [name, before, text, expected] of crashes) {
+    it(`answers correctly when its owner crashes ${name}`, async () => {
+      await withOneOwner(async (scene, owner, other) => {
         const caller = await scene.caller(other, 'own')
         for (const each of before) expect(await caller.tell(each)).toEqual('done')
         scene.dialer.hooks.onCommand = (_server, command) => {
@@ -159,9 +157,9 @@
     })
   }
 
-  // The owner stops in the ordinary way. Whoever uses it finds another place without a refusal.
-  it('goes on when its owner stops', async () => {
-    await inCrowd(async (scene, owner, other) => {
+  // The owner stops as planned. Hosts that relay to it must switch to another host without refusing a statement.
+  it('is served without refusals when its owner stops', async () => {
+    await withOneOwner(async (scene, owner, other) => {
       const caller = await scene.caller(other, 'own')
       const stopped = owner.host.stop()
       for (let reads = 0; reads < 20; reads += 1) {
@@ -172,11 +170,11 @@
     })
   })
 
-  // An owner stops while another host's caller has a transaction open there, longer than an owner gives
-  // its own callers'. Nobody ended it in time: the end of the owner's process came under whatever ran
-  // then, and of a commit the caller heard that its outcome is unknown.
-  it('hears that nothing is kept when its owner stops under a long transaction', async () => {
-    await inCrowd(async (scene, owner, other) => {
+  // An owner stops while a caller of another host has a transaction open there for longer than an owner allows its own
+  // callers. The transaction was not ended in time, the owner's process ended while a statement ran in it, and a commit
+  // was refused with an unknown outcome.
+  it('aborts a long transaction when its owner stops', async () => {
+    await withOneOwner(async (scene, owner, other) => {
       const caller = await scene.caller(other, 'own')
       await caller.tell('begin')
       await caller.tell('write 1')
@@ -189,11 +187,10 @@
     })
   })
 
-  // An owner stops while the store is away, so that the others do not hear of it there. They went on
-  // handing it statements, which it declined, up to the end of its process; those that were on their
-  // way then were told as writes of unknown outcome.
-  it('hands nothing more to an owner that stops, also without the store', async () => {
-    await inCrowd(async (scene, owner, other) => {
+  // An owner stops during a store outage, so the others do not receive the change from the store. They continued to relay
+  // statements, which it declined, until its process ended; writes in flight at that moment had an unknown outcome.
+  it('relays no more statements to a stopping owner, also during a store outage', async () => {
+    await withOneOwner(async (scene, owner, other) => {
       const callers = await Promise.all([1, 2, 3, 4].map(() => scene.caller(other, 'own')))
       for (const caller of callers) await caller.tell('write 0')
       scene.dialer.hooks.workMilliseconds = 4
@@ -202,22 +199,22 @@
       const stopped = owner.host.stop()
       let isOver = false
       void stopped.then(() => (isOver = true))
-      const told = new Set<string>()
+      const outcomes = new Set<string>()
       const goesOn = (): boolean => !isOver
       const work = async (caller: Caller): Promise<void> => {
-        while (goesOn()) told.add(await caller.tell('write 1'))
+        while (goesOn()) outcomes.add(await caller.tell('write 1'))
       }
       await Promise.all(callers.map(work))
-      expect([...told]).toEqual(['done'])
+      expect([...outcomes]).toEqual(['done'])
       const declined = other.lines.slice(before).filter(({ event }) => event === 'relay_failed')
       expect(declined.length <= callers.length).toEqual(true)
     })
   })
 
-  // The only owner dies. In each availability zone a host serves in its place, each as if it alone held
-  // connections: the first two took nearly all, the third zone was told "not run", and so was everybody when
-  // the owner was back, for the 5 s for which those kept what they no longer used.
-  it('is served in every zone when its owner is gone', async () => {
+  // The only owner crashes, and one host per availability zone serves in its place. Each one opened connections as if it
+  // were the only holder: the first two took nearly all, the third zone was refused as "not run", and so was every caller
+  // after the owner's return, for the 5 s for which the others kept unused connections.
+  it('is served in every availability zone after its owner crashed', async () => {
     const zones = ['a', 'b', 'c', 'a', 'b', 'c']
     const options = { connectionLimit: 12, relayPorts: await freePorts(zones.length), zones }
     await inScene(
@@ -236,8 +233,8 @@
           const home = homes[index]
           while (performance.now() < settledAt + 800) {
             const askedAt = performance.now()
-            const how = await caller.tell('write 1')
-            if (home === undefined || askedAt < settledAt || how !== 'done') continue
+            const outcome = await caller.tell('write 1')
+            if (home === undefined || askedAt < settledAt || outcome !== 'done') continue
             served.set(home, (served.get(home) ?? 0) + 1)
           }
         }
--- a/packages/host/__tests__/relayPeer.spec.ts
+++ b/packages/host/__tests__/relayPeer.spec.ts
@@ -10,10 +10,11 @@
 
 const wait = (span: number): Promise<void> => new Promise(resolve => setTimeout(resolve, span))
 
-// Another host is cut off. Each second some callers were handed to it all the same, to find out,
-// and waited for a connection that did not come. Now only the host itself finds out, beside them.
-describe('a host that can not be reached', () => {
-  it('is given nothing until it is reached again, which is found out without callers', async () => {
+// Guards against reconnection attempts on behalf of callers: each second some callers' statements were sent to an
+// unreachable host as a test, and waited for a connection that could not be opened. Reconnecting is done in the
+// background instead.
+describe('a peer host that can not be reached', () => {
+  it('receives no statements until a background reconnection succeeds', async () => {
     const [port = 0] = await freePorts(1)
     const context = {
       clock: new SystemClock(),
@@ -38,10 +39,10 @@
   })
 })
 
-// Another host says that it stops, and loses power before its connection ends. The connection stays open
-// here for good; the host's next life, at the same address, was never handed anything again.
-describe('a host that said that it stops', () => {
-  it('is used again once its process must have ended, though its connection never does', async () => {
+// Guards against a stopping host that loses power before it closes its connection. The connection stays open on this
+// side, and the host's next incarnation at the same address never received a statement again.
+describe('a peer host that announced that it is stopping', () => {
+  it('is used again after its grace period, although its connection was never closed', async () => {
     const [port = 0] = await freePorts(1)
     const context = {
       clock: new SystemClock(),
--- a/packages/host/__tests__/statements.spec.ts
+++ b/packages/host/__tests__/statements.spec.ts
@@ -8,10 +8,10 @@
 const isStatement = (command: BackendCommand, id: string): boolean =>
   (command.kind === 'forward' || command.kind === 'execute') && command.id === id
 
-async function tellAll(caller: Caller, texts: readonly string[]): Promise<string[]> {
-  const told: string[] = []
-  for (const text of texts) told.push(await caller.tell(text))
-  return told
+async function runAll(caller: Caller, texts: readonly string[]): Promise<string[]> {
+  const outcomes: string[] = []
+  for (const text of texts) outcomes.push(await caller.tell(text))
+  return outcomes
 }
 
 describe('statements on an entry host', () => {
@@ -49,20 +49,20 @@
     ['a begin within a transaction', 'own', 'begin, begin, rollback', 'done, malformed, done'],
     ['no statement at all', 'own', 'nonsense, read 1', 'malformed, done'],
   ]
-  for (const [name, database, said, told] of conversations) {
+  for (const [name, database, texts, outcomes] of conversations) {
     it(name, async () => {
       await inScene(1, async (scene, [host]) => {
         if (host === undefined) return
         const caller = await scene.caller(host, database)
-        expect((await tellAll(caller, said.split(', '))).join(', ')).toEqual(told)
+        expect((await runAll(caller, texts.split(', '))).join(', ')).toEqual(outcomes)
       })
     })
   }
 
   /**
-   * Story of each: the answer of one statement is lost on its way, or the server is cut off before
-   * or after it ran. The caller must hear the truth: repeated where that is harmless, "aborted" only
-   * where nothing is kept, "unknown" where nobody knows; and no write may run twice.
+   * In each case the answer of one statement is lost, or its connection is cut after it ran. The statement must be
+   * retried only where that is safe, refused with "aborted" only if nothing was kept, and with "outcomeUnknown" if that
+   * can not be known; no write may run twice.
    */
   const losses: readonly (readonly [
     string,
@@ -81,7 +81,7 @@
     ['a commit', ['begin', 'write 1'], 'commit', 'lostAfter', 'outcomeUnknown', 0],
     ['a commit', ['begin', 'write 1'], 'commit', 'cutAfter', 'outcomeUnknown', 0],
   ]
-  for (const [name, before, text, fault, told, runs] of losses) {
+  for (const [name, before, text, fault, outcome, runs] of losses) {
     it(`${name}, ${fault}`, async () => {
       await inScene(1, async (scene, [host]) => {
         if (host === undefined) return
@@ -92,17 +92,16 @@
           faults += 1
           return fault
         }
-        await tellAll(caller, before)
-        expect(await caller.tell(text, 'x')).toEqual(told)
+        await runAll(caller, before)
+        expect(await caller.tell(text, 'x')).toEqual(outcome)
         expect(scene.group.ran.filter(each => each.endsWith(':x')).length).toEqual(runs)
       })
     })
   }
 
-  // A database gets more work than it can do, and all of it waited until its time was over. Who
-  // would wait for longer than a part of the latency target hears at once that nothing ran, and
-  // when to come back.
-  it('refuses at once what would wait too long', async () => {
+  // Guards against requests of an overloaded database that wait until their deadline. A request whose forecast wait
+  // exceeds a share of its latency target must be refused immediately, with a retry delay.
+  it('refuses a statement immediately if it would wait too long', async () => {
     await inScene(
       1,
       async (scene, [host]) => {
@@ -113,20 +112,20 @@
         const startedAt = performance.now()
         const asked = callers.map(async caller => {
           const { answer } = await caller.ask('write 1')
-          const told = answer.kind === 'refused' ? `${answer.refusal} ${answer.detail}` : 'done'
-          return { told, took: performance.now() - startedAt }
+          const outcome = answer.kind === 'refused' ? `${answer.refusal} ${answer.detail}` : 'done'
+          return { outcome, took: performance.now() - startedAt }
         })
         const [first, , third] = await Promise.all(asked)
-        expect(first?.told).toEqual('done')
-        expect(third?.told).toEqual(expect.regex(/^notRun .*overloaded retry_after_ms=\d+$/))
+        expect(first?.outcome).toEqual('done')
+        expect(third?.outcome).toEqual(expect.regex(/^notRun .*overloaded retry_after_ms=\d+$/))
         expect((third?.took ?? 0) < 100).toEqual(true)
       },
       { connectionLimit: 2 },
     )
   })
 
-  // A caller complains that an answer came late. The line of its statement says where the time went.
-  it('says where the time of a late answer went', async () => {
+  // The log line of a late statement must tell an operator how long it waited and how many attempts it took.
+  it('logs how a late answer spent its time', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
       const caller = await scene.caller(host, 'latest')
@@ -138,14 +137,14 @@
     })
   })
 
-  // A foreman sets a value on his session; another caller that gets the same connection afterwards
-  // must not find it, and he must find it on whatever connection he gets next.
-  it('keeps session values with their session', async () => {
+  // A caller sets a session value. Another caller that gets the same connection afterwards must not see it, and the first
+  // must see it on every connection that it gets.
+  it('keeps session values separate between sessions that share a connection', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
       const first = await scene.caller(host, 'latest')
       const second = await scene.caller(host, 'latest')
-      await tellAll(first, ['set colour red', 'read 1'])
+      await runAll(first, ['set colour red', 'read 1'])
       await second.tell('read 1')
       const seen = new Map<string, string | undefined>()
       scene.dialer.hooks.onCommand = (server, command) => {
@@ -162,23 +161,21 @@
     })
   })
 
-  // A caller disappears in the middle of a transaction. Its connection goes back to the others
-  // without the transaction, and nothing of it is kept.
-  it('rolls back for a caller that left', async () => {
+  // A caller disconnects within a transaction. The backend connection must be returned to the pool after a rollback.
+  it('rolls back the transaction of a caller that disconnected', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
-      const gone = await scene.caller(host, 'latest')
-      await tellAll(gone, ['begin', 'write 1'])
-      gone.leave()
+      const disconnected = await scene.caller(host, 'latest')
+      await runAll(disconnected, ['begin', 'write 1'])
+      disconnected.leave()
       const next = await scene.caller(host, 'latest')
-      expect(await tellAll(next, ['write 2', 'read 1'])).toEqual(['done', 'done'])
+      expect(await runAll(next, ['write 2', 'read 1'])).toEqual(['done', 'done'])
       expect(scene.group.acknowledged.length).toEqual(1)
     })
   })
 
-  // Both replicas stop receiving. A session that has just written must not read from them, however
-  // near they are; and a read that every server may serve must not wait for them.
-  it('reads a session own write though the replicas stay behind', async () => {
+  // A replica stops receiving the log. A session that has just written must not read from it, however near it is.
+  it('reads the own writes of a session while a replica is behind', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
       const caller = await scene.caller(host, 'own')
@@ -191,9 +188,9 @@
     })
   })
 
-  // A primary was replaced behind this host's back and serves reads from its old log. A class that
-  // must see every write may not get an answer from there.
-  it('does not use what a replaced primary read', async () => {
+  // A primary was replaced without this host having been informed, and serves reads from its old log. A route that
+  // guarantees the latest data must not use such an answer.
+  it('discards reads of a replaced primary', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
       const caller = await scene.caller(host, 'latest')
@@ -207,8 +204,8 @@
     })
   })
 
-  // A full server refuses sessions. Reads go elsewhere at once; nobody waits for it to empty.
-  it('reads elsewhere when a server takes no connections', async () => {
+  // A full server rejects connections. Reads must go to another server at once instead of waiting for a free slot.
+  it('reads from another server when one accepts no connections', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
       for (const server of [A, B]) {
@@ -222,18 +219,18 @@
     })
   })
 
-  // Both replicas of the primary receive nothing for a while, and it says of each write at once that it
-  // was not confirmed. Each caller's write ran all the same and was told as one of unknown outcome; now
-  // one in a while is, and the others hear that they were not run, which is true.
-  it('sends few writes to a primary whose replicas are gone', async () => {
+  // Both replicas receive nothing for a while, and the primary answers each write at once as not confirmed. Every
+  // caller's write ran and was refused with an unknown outcome; only an occasional write may be sent as a test, and the
+  // others must be refused as not run.
+  it('sends few writes to a primary whose replicas are unreachable', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
       const caller = await scene.caller(host, 'own')
       for (const id of [A, B]) scene.group.server(id).isDeaf = true
-      const told: string[] = []
-      for (let count = 0; count < 20; count += 1) told.push(await caller.tell('write 1'))
-      const unknown = told.filter(how => how === 'outcomeUnknown').length
-      const unrun = told.filter(how => how === 'notRun').length
+      const outcomes: string[] = []
+      for (let count = 0; count < 20; count += 1) outcomes.push(await caller.tell('write 1'))
+      const unknown = outcomes.filter(outcome => outcome === 'outcomeUnknown').length
+      const unrun = outcomes.filter(outcome => outcome === 'notRun').length
       expect([unknown <= 3, unknown + unrun]).toEqual([true, 20])
       for (const id of [A, B]) scene.group.server(id).isDeaf = false
       await new Promise(resolve => setTimeout(resolve, 300))
@@ -241,10 +238,10 @@
     })
   })
 
-  // Other hosts hold all connections that a primary takes, so this one gets none. The forecast of the
-  // wait knew only of lines that move; what came was let in, waited for the whole 0.8 s of its route, and
-  // was told then that it had not run. Where no connection has come for a while, it is told at once.
-  it('refuses at once where it holds no connection and the server is full', async () => {
+  // Other hosts hold all connections that the primary accepts. The forecast of the wait assumed a queue that moves, so
+  // requests were queued for the whole 0.8 s of their route's timeout and refused as not run only then. If no connection
+  // could be opened for a while, they must be refused immediately.
+  it('refuses statements immediately if it holds no connection and the server is full', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
       const caller = await scene.caller(host, 'own')
@@ -262,29 +259,29 @@
     })
   })
 
-  // Six callers ask at once where one connection is open and the others are being opened. The forecast
-  // counted on the open one alone and refused half of them as too long a wait; all are served by the rest.
-  it('counts on the connections that it is opening', async () => {
+  // Six callers send a statement at once while one connection is open and the others are being opened. The forecast of
+  // the wait considered only the open connection and refused half of the statements.
+  it('includes connections that are being opened in the forecast wait', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
       scene.dialer.hooks.workMilliseconds = 60
       const callers = await Promise.all([1, 2, 3, 4, 5, 6].map(() => scene.caller(host, 'own')))
       for (let count = 0; count < 5; count += 1) await callers[0]?.tell('write 1')
-      const told = await Promise.all(callers.map(caller => caller.tell('write 2')))
-      expect(told.filter(how => how !== 'done')).toEqual([])
+      const outcomes = await Promise.all(callers.map(caller => caller.tell('write 2')))
+      expect(outcomes.filter(outcome => outcome !== 'done')).toEqual([])
     })
   })
 
-  // The host's process stands still for 0.4 s under a write, as on a machine that is too busy. It took its
-  // own standstill for a primary that confirms nothing, and rolled back the commit that came next, unasked:
-  // "aborted: unconfirmed" to a commit owed for 333 ms, of which the host had taken 0.
-  it('does not take its own standstill for a primary without replicas', async () => {
+  // The host's process stalls for 0.4 s during a write, as on an overloaded machine. The host attributed its own stall to
+  // a primary that confirms no writes, and rolled back the next commit without sending it ("aborted: unconfirmed" to a
+  // commit that had been pending for 333 ms, of which the host had spent 0).
+  it('does not treat its own stall as a primary whose writes are not confirmed', async () => {
     await inScene(1, async (scene, [host]) => {
       if (host === undefined) return
       const [caller, other] = [await scene.caller(host, 'own'), await scene.caller(host, 'own')]
       await caller.tell('begin')
       await caller.tell('write 1')
-      // It has looked at its servers by now.
+      // Allow the periodic check of the servers to run first.
       await new Promise(resolve => setTimeout(resolve, 150))
       scene.dialer.hooks.workMilliseconds = 100
       const asked = other.tell('write 2')
--- a/packages/host/__tests__/support/caller.ts
+++ b/packages/host/__tests__/support/caller.ts
@@ -1,4 +1,4 @@
-/** A caller of an entry host, without a socket between them. */
+/** An in-process caller of an entry host, connected without a socket. */
 import { digestOfKey, type LogPosition } from '@nutmegcourse/shared'
 import {
   statementId,
@@ -16,12 +16,12 @@
   readonly position: LogPosition | null
 }
 
-/** One caller. Statements are written as `begin`, `read x`, `write x`, `commit` and so on. */
+/** One caller. Statements are given as `begin`, `read x`, `write x`, `commit` and so on. */
 export class Caller implements CallerLink {
   readonly #host: EntryHost
   #events: CallerEvents | null = null
   #waiting: ((answered: Answered) => void) | null = null
-  #welcomed: ((how: string) => void) | null = null
+  #welcomed: ((outcome: string) => void) | null = null
   #lastId = 0
   isClosed = false
 
@@ -44,7 +44,7 @@
     })
   }
 
-  /** Asks, and tells in one word how it ended: `done`, or the refusal. */
+  /** Runs a statement and resolves with its outcome: `done`, or the refusal. */
   async tell(text: string, id?: string): Promise<string> {
     const { answer } = await this.ask(text, id)
     return answer.kind === 'refused' ? answer.refusal : 'done'
--- a/packages/host/__tests__/support/scene.ts
+++ b/packages/host/__tests__/support/scene.ts
@@ -1,4 +1,4 @@
-/** Entry hosts in one process, between callers and a platform of stand-ins. */
+/** Test fixture: entry hosts in one process, with in-process callers and in-memory stand-ins for the platform. */
 import {
   SeededRandom,
   SystemClock,
@@ -97,25 +97,25 @@
   readonly lines: { readonly event: string; readonly fields: LogFields }[]
 }
 
-/** What stands between a host and the promotions that it orders. */
+/** How the promotion orders of a host fail. */
 export type PromotionFault = (host: string) => 'none' | 'noAnswer' | 'late'
 
-const LATE_MILLISECONDS = 400
+const LATE_PROMOTION_MILLISECONDS = 400
 
 export interface SceneOptions {
   readonly promotionMilliseconds?: number
   readonly connectionLimit?: number
-  /** Where the hosts run statements for each other, in their order. */
+  /** The relay port of each host, in order; without, the hosts have none. */
   readonly relayPorts?: readonly number[]
-  /** The availability zone of each host, in their order; without, all are in one. */
+  /** The availability zone of each host, in order; without, all hosts are in one zone. */
   readonly zones?: readonly string[]
   /** The whole fleet starts for the first time. */
   readonly isFirstStart?: boolean
-  /** Callers need keys of these customers. */
+  /** Callers need a key of one of these customers. */
   readonly customers?: readonly Customer[]
-  /** Limits of customers are in force. */
+  /** Enables the enforcement of customers' limits. */
   readonly limitTolerance?: HostSettings['limitTolerance']
-  /** Keys must not be served by hosts that cannot have heard of their removal within so many milliseconds. */
+  /** Enables strict revocation: hosts refuse keys whose revocation they may not have received within this many milliseconds. */
   readonly strictRevocation?: number
 }
 
@@ -158,7 +158,7 @@
     for (const server of [P, A, B]) this.list(server)
   }
 
-  /** Writes a configuration that differs in this from the usual one. */
+  /** Stores the default configuration with the given changes. */
   configure(given: Partial<FleetConfiguration>): void {
     const connectionLimit = this.#connectionLimit
     const services = CONFIGURATION.services.map(service => ({ ...service, connectionLimit }))
@@ -209,7 +209,7 @@
         store,
         promotion: this.#promotionFor(name),
         callerLink: () => {
-          throw new Error('callers come by admit')
+          throw new Error('callers are connected through EntryHost.admit')
         },
       },
       log,
@@ -217,18 +217,18 @@
       new SystemClock(),
       new SeededRandom(name.length + this.hosts.length),
     )
-    const made = { host, store, dialer, lines }
-    this.hosts.push(made)
+    const added = { host, store, dialer, lines }
+    this.hosts.push(added)
     host.start()
-    return made
+    return added
   }
 
-  /** One host's packets to a server, and the server's to it, are lost. */
+  /** Drops all packets between a host and a server. */
   cutOff(host: SceneHost, server: BackendServerId): void {
     host.dialer.unreachable.add(server)
   }
 
-  /** A server's process is gone. */
+  /** Stops a server's process and closes its connections. */
   crash(server: BackendServerId): void {
     this.group.server(server).isDown = true
     this.dialer.cut(server)
@@ -236,8 +236,8 @@
 
   async caller(host: SceneHost, database: string, key?: string): Promise<Caller> {
     const caller = new Caller(host.host)
-    const how = await caller.connect(database, key)
-    if (how !== 'welcome') throw new Error(`the session was refused: ${how}`)
+    const outcome = await caller.connect(database, key)
+    if (outcome !== 'welcome') throw new Error(`the session was rejected: ${outcome}`)
     return caller
   }
 
@@ -248,7 +248,7 @@
   async until(condition: () => boolean, what: string, span = 5000): Promise<void> {
     const limit = performance.now() + span
     while (!condition()) {
-      if (performance.now() > limit) throw new Error(`never came true: ${what}`)
+      if (performance.now() > limit) throw new Error(`timed out waiting until ${what}`)
       await new Promise(resolve => setTimeout(resolve, 5))
     }
   }
@@ -268,7 +268,7 @@
         if (fault === 'late') {
           setTimeout(() => {
             this.group.promote(order.server, order.fencingToken)
-          }, LATE_MILLISECONDS)
+          }, LATE_PROMOTION_MILLISECONDS)
         }
         await new Promise(resolve => setTimeout(resolve, Math.min(limit, 50)))
         return { kind: 'noAnswer', detail: 'the stand-in does not answer' }
@@ -277,17 +277,17 @@
   }
 }
 
-/** Runs a story in a scene of its own, and checks at its end that no acknowledged write was lost. */
+/** Runs a scenario in a fixture of its own, and checks afterwards that no acknowledged write was lost. */
 export async function inScene(
   hosts: number,
-  story: (scene: Scene, hosts: readonly SceneHost[]) => Promise<void>,
+  scenario: (scene: Scene, hosts: readonly SceneHost[]) => Promise<void>,
   options: SceneOptions = {},
 ): Promise<void> {
   const scene = new Scene(options)
   try {
     for (let index = 1; index <= hosts; index += 1) scene.add(`host-${String(index)}`)
     await scene.ready()
-    await story(scene, scene.hosts)
+    await scenario(scene, scene.hosts)
     if (scene.group.violations.length > 0) throw new Error(scene.group.violations.join('; '))
   } finally {
     await scene.close()
