--- a/packages/host/__tests__/customers.spec.ts
+++ b/packages/host/__tests__/customers.spec.ts
@@ -15,25 +15,25 @@
 const ALFA = customer('alfa', ['key-of-alfa'])
 const BRAVO = customer('bravo', ['key-of-bravo'])
 
-const withOneHost = (scenario: (scene: Scene, host: SceneHost) => Promise<void>): Promise<void> =>
+const withOneHost = (scenario: (fixture: Scene, host: SceneHost) => Promise<void>): Promise<void> =>
   inScene(
     1,
-    async (scene, [host]) => {
-      if (host !== undefined) await scenario(scene, host)
+    async (fixture, [host]) => {
+      if (host !== undefined) await scenario(fixture, host)
     },
     { customers: [ALFA, BRAVO] },
   )
 
 async function changeCustomers(
-  scene: Scene,
+  fixture: Scene,
   hosts: readonly SceneHost[],
   customers: readonly Customer[],
 ): Promise<void> {
   const version = CONFIGURATION.version + 1
-  scene.configure({ version, customers })
+  fixture.configure({ version, customers })
   const hasTaken = ({ lines }: SceneHost): boolean =>
     lines.some(({ event, fields }) => event === 'configuration_taken' && fields.version === version)
-  await scene.until(() => hosts.every(hasTaken), 'every host has applied the configuration')
+  await fixture.until(() => hosts.every(hasTaken), 'every host has applied the configuration')
 }
 
 describe('the key of a caller', () => {
@@ -45,28 +45,31 @@
   ]
   for (const [name, database, key, outcome] of cases) {
     it(`${name}: ${outcome}`, async () => {
-      await withOneHost(async (_scene, { host }) => {
+      await withOneHost(async (_fixture, { host }) => {
         expect(await new Caller(host).connect(database, key)).toEqual(outcome)
       })
     })
   }
 
   it('is not checked for a public route', async () => {
-    await withOneHost(async (scene, host) => {
+    await withOneHost(async (fixture, host) => {
       const routes = CONFIGURATION.routes.map(route => ({ ...route, isPublic: true }))
-      scene.configure({ version: 2, routes, customers: [ALFA] })
-      await scene.until(() => host.host.find('own')?.route.isPublic === true, 'the route is public')
-      const caller = await scene.caller(host, 'own', 'key-of-nobody')
+      fixture.configure({ version: 2, routes, customers: [ALFA] })
+      await fixture.until(
+        () => host.host.find('own')?.route.isPublic === true,
+        'the route is public',
+      )
+      const caller = await fixture.caller(host, 'own', 'key-of-nobody')
       expect(await caller.tell('read 1')).toEqual('done')
     })
   })
 
   // Guards against open sessions that continue to be served after their key was revoked.
   it('that was revoked authorizes no further operation of open sessions', async () => {
-    await withOneHost(async (scene, host) => {
-      const revoked = await scene.caller(host, 'own', 'key-of-alfa')
-      const unaffected = await scene.caller(host, 'own', 'key-of-bravo')
-      await changeCustomers(scene, [host], [customer('alfa', []), BRAVO])
+    await withOneHost(async (fixture, host) => {
+      const revoked = await fixture.caller(host, 'own', 'key-of-alfa')
+      const unaffected = await fixture.caller(host, 'own', 'key-of-bravo')
+      await changeCustomers(fixture, [host], [customer('alfa', []), BRAVO])
       const outcomes = [
         await revoked.tell('read 1'),
         await revoked.tell('write 1'),
@@ -83,12 +86,12 @@
   for (const [name, customers] of keyChanges) {
     // A transaction must not be committed for a customer that is no longer allowed to write.
     it(`that was ${name} aborts open transactions`, async () => {
-      await withOneHost(async (scene, host) => {
-        const caller = await scene.caller(host, 'own', 'key-of-alfa')
+      await withOneHost(async (fixture, host) => {
+        const caller = await fixture.caller(host, 'own', 'key-of-alfa')
         expect([await caller.tell('begin'), await caller.tell('write 1')]).toEqual(['done', 'done'])
-        await changeCustomers(scene, [host], customers)
+        await changeCustomers(fixture, [host], customers)
         expect(await caller.tell('commit')).toEqual('aborted')
-        expect(scene.group.acknowledged.length).toEqual(0)
+        expect(fixture.group.acknowledged.length).toEqual(0)
       })
     })
   }
@@ -106,9 +109,9 @@
         ...(strictRevocation === undefined ? {} : { strictRevocation }),
       }
       await inScene(1, withoutStore, options)
-      async function withoutStore(scene: Scene, [host]: readonly SceneHost[]): Promise<void> {
+      async function withoutStore(fixture: Scene, [host]: readonly SceneHost[]): Promise<void> {
         if (host === undefined) return
-        const caller = await scene.caller(host, 'own', 'key-of-alfa')
+        const caller = await fixture.caller(host, 'own', 'key-of-alfa')
         expect(await caller.tell('read 1')).toEqual('done')
         host.store.mood = 'refusing'
         await new Promise(resolve => setTimeout(resolve, 4000))
@@ -129,11 +132,11 @@
     const customers = names.map(name => customer(name, [`key-of-${name}`]))
     const options = { customers, connectionLimit: 12, relayPorts: await freePorts(3) }
     await inScene(3, manyCustomers, options)
-    async function manyCustomers(scene: Scene, hosts: readonly SceneHost[]): Promise<void> {
+    async function manyCustomers(fixture: Scene, hosts: readonly SceneHost[]): Promise<void> {
       const ownerOf = new Map<string, string>()
       const work = hosts.flatMap((host, index) =>
         names.map(async name => {
-          const caller = await scene.caller(host, 'own', `key-of-${name}`)
+          const caller = await fixture.caller(host, 'own', `key-of-${name}`)
           for (let count = 0; count < 6; count += 1) {
             const id = `${name}-${String(index)}-${String(count)}`
             ownerOf.set(id, name)
@@ -142,11 +145,11 @@
         }),
       )
       await Promise.all(work)
-      expect(scene.group.ranFor.length >= names.length * 18).toEqual(true)
-      for (const { id, customer: ranFor } of scene.group.ranFor) {
+      expect(fixture.group.ranFor.length >= names.length * 18).toEqual(true)
+      for (const { id, customer: ranFor } of fixture.group.ranFor) {
         expect([id, ranFor]).toEqual([id, customerName(ownerOf.get(id) ?? '')])
       }
-      for (const server of scene.group.servers.values()) {
+      for (const server of fixture.group.servers.values()) {
         expect(server.connections <= options.connectionLimit).toEqual(true)
       }
     }
@@ -158,13 +161,13 @@
     const names = ['alfa', 'bravo', 'carol', 'delta', 'echo', 'foxtrot', 'golf']
     const customers = names.map(name => customer(name, [`key-of-${name}`]))
     await inScene(1, oneAfterTheOther, { customers, connectionLimit: 10 })
-    async function oneAfterTheOther(scene: Scene, [host]: readonly SceneHost[]): Promise<void> {
+    async function oneAfterTheOther(fixture: Scene, [host]: readonly SceneHost[]): Promise<void> {
       if (host === undefined) return
       const callers: Caller[] = []
-      for (const name of names) callers.push(await scene.caller(host, 'latest', `key-of-${name}`))
-      const openedBefore = scene.dialer.links.size
+      for (const name of names) callers.push(await fixture.caller(host, 'latest', `key-of-${name}`))
+      const openedBefore = fixture.dialer.links.size
       for (const caller of callers) expect(await caller.tell('write 1')).toEqual('done')
-      expect(scene.dialer.links.size - openedBefore <= names.length).toEqual(true)
+      expect(fixture.dialer.links.size - openedBefore <= names.length).toEqual(true)
     }
   })
 
@@ -173,16 +176,16 @@
   it('of a busy customer are released for requests of others', async () => {
     const options = { customers: [ALFA, BRAVO], connectionLimit: 4 }
     await inScene(1, busyCustomer, options)
-    async function busyCustomer(scene: Scene, [host]: readonly SceneHost[]): Promise<void> {
+    async function busyCustomer(fixture: Scene, [host]: readonly SceneHost[]): Promise<void> {
       if (host === undefined) return
-      scene.dialer.hooks.workMilliseconds = 20
+      fixture.dialer.hooks.workMilliseconds = 20
       let isOver = false
       const busy = Array.from({ length: 12 }, async () => {
-        const caller = await scene.caller(host, 'latest', 'key-of-alfa')
+        const caller = await fixture.caller(host, 'latest', 'key-of-alfa')
         while (!isOver) await caller.tell('write 1')
       })
       await new Promise(resolve => setTimeout(resolve, 200))
-      const caller = await scene.caller(host, 'latest', 'key-of-bravo')
+      const caller = await fixture.caller(host, 'latest', 'key-of-bravo')
       const askedAt = performance.now()
       const outcome = await caller.tell('write 1')
       const elapsed = performance.now() - askedAt
@@ -199,7 +202,7 @@
   const LIMITED = customer('alfa', ['key-of-alfa'], LIMIT)
 
   const withThreeHosts = async (
-    scenario: (scene: Scene, hosts: readonly SceneHost[]) => Promise<void>,
+    scenario: (fixture: Scene, hosts: readonly SceneHost[]) => Promise<void>,
   ): Promise<void> =>
     inScene(3, scenario, {
       customers: [LIMITED, BRAVO],
@@ -207,8 +210,8 @@
       relayPorts: await freePorts(3),
     })
 
-  async function countServed(scene: Scene, host: SceneHost, key: string, times: number) {
-    const caller = await scene.caller(host, 'own', key)
+  async function countServed(fixture: Scene, host: SceneHost, key: string, times: number) {
+    const caller = await fixture.caller(host, 'own', key)
     const outcomes: string[] = []
     for (let count = 0; count < times; count += 1) outcomes.push(await caller.tell('read 1'))
     return outcomes.filter(each => each === 'done').length
@@ -216,23 +219,23 @@
 
   // Callers of one customer connect to every host, and no host knows by itself how many operations the others admit.
   it('applies to all hosts together and to no other customer', async () => {
-    await withThreeHosts(async (scene, hosts) => {
+    await withThreeHosts(async (fixture, hosts) => {
       const [first] = hosts
       if (first === undefined) return
       const served = await Promise.all(
-        hosts.map(host => countServed(scene, host, 'key-of-alfa', 30)),
+        hosts.map(host => countServed(fixture, host, 'key-of-alfa', 30)),
       )
       const sum = served.reduce((left, right) => left + right, 0)
       const maximum = (LIMIT.operationsPerSecond * 5 + LIMIT.burst) * 1.1 + TOLERANCE.slack
       expect(sum > 0 && sum <= maximum).toEqual(true)
-      expect(await countServed(scene, first, 'key-of-bravo', 30)).toEqual(30)
+      expect(await countServed(fixture, first, 'key-of-bravo', 30)).toEqual(30)
     })
   })
 
   it('counts a transaction once, and its refusal gives a retry delay', async () => {
-    await withThreeHosts(async (scene, [host]) => {
+    await withThreeHosts(async (fixture, [host]) => {
       if (host === undefined) return
-      const caller = await scene.caller(host, 'own', 'key-of-alfa')
+      const caller = await fixture.caller(host, 'own', 'key-of-alfa')
       expect([await caller.tell('begin'), await caller.tell('read 1')]).toEqual(['done', 'done'])
       for (let count = 0; count < 40; count += 1) {
         expect(await caller.tell('read 1')).toEqual('done')
@@ -250,11 +253,11 @@
 
   // The hosts that hold two of the three parts of the limit crash. Operations must still be granted from the third part.
   it('still admits operations after the loss of hosts that hold parts of it', async () => {
-    await withThreeHosts(async (scene, hosts) => {
+    await withThreeHosts(async (fixture, hosts) => {
       const [left, ...others] = hosts
       if (left === undefined) return
       for (const { host } of others) host.close()
-      expect((await countServed(scene, left, 'key-of-alfa', 30)) > 0).toEqual(true)
+      expect((await countServed(fixture, left, 'key-of-alfa', 30)) > 0).toEqual(true)
     })
   })
 })
@@ -265,14 +268,14 @@
     const options = { customers: [ALFA, BRAVO], relayPorts: await freePorts(2) }
     await inScene(
       2,
-      async (scene, hosts) => {
+      async (fixture, hosts) => {
         for (const host of hosts) {
           await new Caller(host.host).connect('own', 'key-of-nobody')
-          const caller = await scene.caller(host, 'own', 'key-of-alfa')
+          const caller = await fixture.caller(host, 'own', 'key-of-alfa')
           await caller.tell('read 1')
           await caller.tell('write 1')
         }
-        await changeCustomers(scene, hosts, [BRAVO])
+        await changeCustomers(fixture, hosts, [BRAVO])
         const logged = JSON.stringify(hosts.map(({ lines }) => lines))
         expect(logged.includes('key-of')).toEqual(false)
         expect(logged.includes(digestOfKey('key-of-alfa'))).toEqual(false)
--- a/packages/host/__tests__/hostLife.spec.ts
+++ b/packages/host/__tests__/hostLife.spec.ts
@@ -9,10 +9,10 @@
 const wait = (span: number): Promise<void> => new Promise(resolve => setTimeout(resolve, span))
 
 /** A caller that has been idle in a transaction for longer than the idle timeout. */
-async function idleInTransaction(scene: Scene, host: SceneHost): Promise<Caller> {
-  scene.store.configure({ ...CONFIGURATION, version: 2, idleTransactionMilliseconds: 100 })
-  await scene.until(() => host.host.idleTransactionMilliseconds === 100, 'it is in force')
-  const caller = await scene.caller(host, 'own')
+async function idleInTransaction(fixture: Scene, host: SceneHost): Promise<Caller> {
+  fixture.store.configure({ ...CONFIGURATION, version: 2, idleTransactionMilliseconds: 100 })
+  await fixture.until(() => host.host.idleTransactionMilliseconds === 100, 'it is in force')
+  const caller = await fixture.caller(host, 'own')
   await caller.tell('begin')
   await caller.tell('write 1')
   await wait(200)
@@ -23,22 +23,22 @@
   // The host starts while the store is unavailable. It must not report that it is ready, and must reject a caller before
   // the caller's connection timeout; once the store answers, it must serve normally.
   it('starts while the store is unavailable and serves once it answers', async () => {
-    await inScene(0, async scene => {
-      const store = new StoreConnection(scene.store)
+    await inScene(0, async fixture => {
+      const store = new StoreConnection(fixture.store)
       store.mood = 'refusing'
-      const added = scene.add('host-1', 1000, store)
+      const added = fixture.add('host-1', 1000, store)
       const caller = new Caller(added.host)
       expect(added.host.isReady).toEqual(false)
       expect(await caller.connect('own')).toEqual('tooManyCallers')
       store.mood = 'well'
-      await scene.ready()
-      expect(await (await scene.caller(added, 'own')).tell('write 1')).toEqual('done')
+      await fixture.ready()
+      expect(await (await fixture.caller(added, 'own')).tell('write 1')).toEqual('done')
     })
   })
 
   // Guards against stalls that are not logged: other hosts consider a stalled host lost, and the cause was not visible.
   it('logs a stall of its process and how long it took', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
       const until = performance.now() + STALL_MILLISECONDS
       while (performance.now() < until);
@@ -46,7 +46,7 @@
         host.lines
           .filter(({ event }) => event === 'stood_still')
           .map(({ fields }) => Number(fields.milliseconds))
-      await scene.until(
+      await fixture.until(
         () => loggedStalls().some(span => span >= STALL_MILLISECONDS),
         'the stall is logged',
       )
@@ -55,9 +55,9 @@
 
   // The store stops answering. Callers must not be affected.
   it('continues to serve with its last state while the store is unavailable', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
-      const caller = await scene.caller(host, 'own')
+      const caller = await fixture.caller(host, 'own')
       host.store.mood = 'silent'
       await wait(300)
       expect([await caller.tell('write 1'), await caller.tell('read 1')]).toEqual(['done', 'done'])
@@ -68,19 +68,19 @@
   // The store discards the history after the host's revision while the host is disconnected. Afterwards changes and
   // removals made meanwhile must be applied, and no older configuration may replace a newer one.
   it('lists the store again when the history has been compacted', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
       host.store.mood = 'refusing'
       await wait(50)
       const routes = CONFIGURATION.routes.filter(({ database }) => database !== 'bounded')
-      scene.store.configure({ ...CONFIGURATION, version: 9, routes })
-      scene.store.compact()
+      fixture.store.configure({ ...CONFIGURATION, version: 9, routes })
+      fixture.store.compact()
       host.store.mood = 'well'
-      await scene.until(
+      await fixture.until(
         () => host.host.find('bounded') === null,
         'the new configuration is in force',
       )
-      scene.store.configure({ ...CONFIGURATION, version: 5 })
+      fixture.store.configure({ ...CONFIGURATION, version: 5 })
       await wait(50)
       expect(host.host.find('bounded')).toEqual(null)
       const caller = new Caller(host.host)
@@ -90,13 +90,13 @@
 
   // A route is removed while a session is open. A running transaction may still commit; the next statement is refused.
   it('applies the removal of a route from the next transaction on', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
-      const caller = await scene.caller(host, 'own')
+      const caller = await fixture.caller(host, 'own')
       await caller.tell('begin')
       await caller.tell('write 1')
-      scene.store.configure({ ...CONFIGURATION, version: 2, routes: [] })
-      await scene.until(() => host.host.find('own') === null, 'the route is gone')
+      fixture.store.configure({ ...CONFIGURATION, version: 2, routes: [] })
+      await fixture.until(() => host.host.find('own') === null, 'the route is gone')
       expect(await caller.tell('commit')).toEqual('done')
       expect(await caller.tell('read 1')).toEqual('unknownDatabase')
     })
@@ -105,12 +105,12 @@
   // On a planned stop idle sessions are closed, running statements finish, and open transactions are rolled back after
   // half of the grace period.
   it('closes idle sessions and lets short transactions commit when it stops', async () => {
-    await inScene(0, async scene => {
-      const added = scene.add('host-1', 2000)
-      await scene.ready()
-      const idle = await scene.caller(added, 'own')
-      const brief = await scene.caller(added, 'own')
-      const endless = await scene.caller(added, 'own')
+    await inScene(0, async fixture => {
+      const added = fixture.add('host-1', 2000)
+      await fixture.ready()
+      const idle = await fixture.caller(added, 'own')
+      const brief = await fixture.caller(added, 'own')
+      const endless = await fixture.caller(added, 'own')
       for (const caller of [brief, endless]) {
         await caller.tell('begin')
         await caller.tell('write 1')
@@ -121,7 +121,7 @@
       expect(await brief.tell('commit')).toEqual('done')
       await stopped
       expect([idle.isClosed, brief.isClosed]).toEqual([true, true])
-      expect(scene.group.acknowledged.length).toEqual(1)
+      expect(fixture.group.acknowledged.length).toEqual(1)
     })
   })
 
@@ -130,10 +130,10 @@
   // 2,279 to 3,593 ms after the signal, while only sessions of the first 1,000 ms were closed, and no answer had been
   // pending for longer than 54 ms.
   it('has answered every statement when it has stopped, including those of callers that connected late', async () => {
-    await inScene(0, async scene => {
-      const added = scene.add('host-1', 2000)
-      await scene.ready()
-      scene.dialer.hooks.workMilliseconds = 120
+    await inScene(0, async fixture => {
+      const added = fixture.add('host-1', 2000)
+      await fixture.ready()
+      fixture.dialer.hooks.workMilliseconds = 120
       const stopped = added.host.stop()
       let owed = 0
       let isOver = false
@@ -156,7 +156,7 @@
       isOver = true
       await Promise.all(workers)
       expect(owedAtEnd).toEqual(0)
-      expect(scene.group.acknowledged.length > 0).toEqual(true)
+      expect(fixture.group.acknowledged.length > 0).toEqual(true)
     })
   })
 
@@ -164,14 +164,14 @@
   // The transaction was rolled back at that point, during its commit, although the process ran for as long again: commits
   // pending for 16 to 21 ms were refused with "the transaction was rolled back".
   it('lets a transaction commit that began while the host was stopping', async () => {
-    await inScene(0, async scene => {
-      const added = scene.add('host-1', 4000)
-      await scene.ready()
-      const busy = await scene.caller(added, 'own')
+    await inScene(0, async fixture => {
+      const added = fixture.add('host-1', 4000)
+      await fixture.ready()
+      const busy = await fixture.caller(added, 'own')
       await busy.tell('begin')
       const stopped = added.host.stop()
       await wait(1900)
-      const late = await scene.caller(added, 'own')
+      const late = await fixture.caller(added, 'own')
       const outcomes = [await late.tell('begin'), await late.tell('write 1')]
       await wait(300)
       expect([...outcomes, await late.tell('commit')]).toEqual(['done', 'done', 'done'])
@@ -184,30 +184,30 @@
   // The time for open transactions ends while a statement runs in one. That transaction was skipped, stayed open until
   // the process ended, and its commit was cut off.
   it('ends a transaction after the statement that was running when its time ended', async () => {
-    await inScene(0, async scene => {
-      const added = scene.add('host-1', 2000)
-      await scene.ready()
-      const caller = await scene.caller(added, 'own')
+    await inScene(0, async fixture => {
+      const added = fixture.add('host-1', 2000)
+      await fixture.ready()
+      const caller = await fixture.caller(added, 'own')
       await caller.tell('begin')
       await caller.tell('write 1')
-      scene.dialer.hooks.workMilliseconds = 400
+      fixture.dialer.hooks.workMilliseconds = 400
       const stopped = added.host.stop()
       await wait(800)
       const outcomes = [await caller.tell('write 2'), await caller.tell('commit')]
       expect(outcomes).toEqual(['done', 'aborted'])
       await stopped
-      expect(scene.group.acknowledged).toEqual([])
+      expect(fixture.group.acknowledged).toEqual([])
     })
   })
 
   // A second stop signal arrived during the planned stop. The second call returned as if the stop had completed, and the
   // process ended while statements were running.
   it('does not stop sooner when it is signalled twice', async () => {
-    await inScene(0, async scene => {
-      const added = scene.add('host-1', 2000)
-      await scene.ready()
-      const caller = await scene.caller(added, 'own')
-      scene.dialer.hooks.workMilliseconds = 300
+    await inScene(0, async fixture => {
+      const added = fixture.add('host-1', 2000)
+      await fixture.ready()
+      const caller = await fixture.caller(added, 'own')
+      fixture.dialer.hooks.workMilliseconds = 300
       const asked = caller.tell('write 1')
       await wait(20)
       const order: string[] = []
@@ -223,9 +223,9 @@
   // A caller that is idle in a transaction holds a scarce connection. After the idle timeout the transaction must be
   // rolled back; the caller is informed with its next statement and can continue.
   it('rolls back a transaction that exceeds the idle timeout', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
-      const caller = await idleInTransaction(scene, host)
+      const caller = await idleInTransaction(fixture, host)
       const outcomes = [await caller.tell('commit'), await caller.tell('write 1')]
       expect(outcomes).toEqual(['aborted', 'done'])
     })
@@ -234,26 +234,26 @@
   // As above, but the caller sends another statement before the commit. The answer was "malformed", which does not tell
   // that nothing was kept; the first answer after the rollback must be "aborted".
   it('refuses the first statement after ending an idle transaction with "aborted", and later ones with "malformed"', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
-      const caller = await idleInTransaction(scene, host)
+      const caller = await idleInTransaction(fixture, host)
       const outcomes: string[] = []
       for (const text of ['write 2', 'read 1', 'rollback', 'write 3'])
         outcomes.push(await caller.tell(text))
       expect(outcomes).toEqual(['aborted', 'malformed', 'done', 'done'])
-      expect(scene.group.acknowledged.length).toEqual(1)
+      expect(fixture.group.acknowledged.length).toEqual(1)
     })
   })
 
   // Entries of servers expire during a store outage and return shortly afterwards. No statement may be refused meanwhile.
   it('keeps using servers whose entries expire briefly', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
-      const caller = await scene.caller(host, 'latest')
-      scene.store.unlistServer(P)
+      const caller = await fixture.caller(host, 'latest')
+      fixture.store.unlistServer(P)
       await wait(100)
       expect(await caller.tell('write 1')).toEqual('done')
-      scene.list(P)
+      fixture.list(P)
       await wait(100)
       expect(await caller.tell('write 1')).toEqual('done')
     })
@@ -261,11 +261,11 @@
 
   // The store's call rates do not grow with the fleet, so an idle host may only keep its one watch open.
   it('makes no store calls but its watch while idle', async () => {
-    await inScene(3, async scene => {
+    await inScene(3, async fixture => {
       await wait(300)
-      const before = [...scene.store.calls].filter(([name]) => name !== 'watch')
+      const before = [...fixture.store.calls].filter(([name]) => name !== 'watch')
       await wait(700)
-      expect([...scene.store.calls].filter(([name]) => name !== 'watch')).toEqual(before)
+      expect([...fixture.store.calls].filter(([name]) => name !== 'watch')).toEqual(before)
     })
   })
 })
--- a/packages/host/__tests__/relay.spec.ts
+++ b/packages/host/__tests__/relay.spec.ts
@@ -12,18 +12,18 @@
   event === 'connection_not_opened' && fields.held === 0
 
 async function withOneOwner(
-  scenario: (scene: Scene, owner: SceneHost, other: SceneHost) => Promise<void>,
+  scenario: (fixture: Scene, owner: SceneHost, other: SceneHost) => Promise<void>,
 ): Promise<void> {
   const options = { connectionLimit: CONNECTION_LIMIT, relayPorts: await freePorts(3) }
   await inScene(
     3,
-    async (scene, hosts) => {
+    async (fixture, hosts) => {
       const owners = () => hosts.filter(({ host }) => host.find('own')?.desk.isOwned === true)
-      await scene.until(() => owners().length === 1, 'one host owns the service')
+      await fixture.until(() => owners().length === 1, 'one host owns the service')
       const [owner] = owners()
       const other = hosts.find(each => each !== owner)
       if (owner === undefined || other === undefined) throw new Error('no owner')
-      await scenario(scene, owner, other)
+      await scenario(fixture, owner, other)
     },
     options,
   )
@@ -35,10 +35,10 @@
   it('relays writes through hosts that reach the primary, without a change of primary', async () => {
     await inScene(
       3,
-      async (scene, [host]) => {
+      async (fixture, [host]) => {
         if (host === undefined) return
-        const caller = await scene.caller(host, 'own')
-        scene.cutOff(host, P)
+        const caller = await fixture.caller(host, 'own')
+        fixture.cutOff(host, P)
         let served = 0
         const limit = performance.now() + 4000
         while (performance.now() < limit) {
@@ -46,7 +46,7 @@
           await new Promise(resolve => setTimeout(resolve, 40))
         }
         expect(served > 40).toEqual(true)
-        expect(scene.group.promotions).toEqual(0)
+        expect(fixture.group.promotions).toEqual(0)
         const outcomes = [await caller.tell('begin'), await caller.tell('write 2')]
         expect([...outcomes, await caller.tell('commit')]).toEqual(['done', 'done', 'done'])
       },
@@ -59,7 +59,7 @@
   // An owner registers again because its lease expired, or removes its record because it is to stop. Meanwhile it still
   // runs relayed statements. The other hosts closed their connections to it on receiving the change, and refused the
   // pending writes with an unknown outcome, 39 of them in one recovery from a store outage.
-  const recordChanges: readonly (readonly [string, (scene: Scene, owner: string) => void])[] = [
+  const recordChanges: readonly (readonly [string, (fixture: Scene, owner: string) => void])[] = [
     [
       'registers again',
       ({ store }, owner) => {
@@ -77,23 +77,23 @@
   ]
   for (const [what, change] of recordChanges) {
     it(`receives the answers of an owner that ${what} meanwhile`, async () => {
-      await withOneOwner(async (scene, owner, other) => {
-        const caller = await scene.caller(other, 'own')
+      await withOneOwner(async (fixture, owner, other) => {
+        const caller = await fixture.caller(other, 'own')
         await caller.tell('write 1')
         // Changes are batched after those of the start.
         await new Promise(resolve => setTimeout(resolve, 1200))
-        scene.dialer.hooks.workMilliseconds = 300
+        fixture.dialer.hooks.workMilliseconds = 300
         const asked = caller.tell('write 2')
         await new Promise(resolve => setTimeout(resolve, 50))
-        change(scene, owner.host.name)
+        change(fixture, owner.host.name)
         expect(await asked).toEqual('done')
       })
     })
   }
 
   it('is served on every host through the one that holds the connections', async () => {
-    await withOneOwner(async (scene, _owner, other) => {
-      const caller = await scene.caller(other, 'own')
+    await withOneOwner(async (fixture, _owner, other) => {
+      const caller = await fixture.caller(other, 'own')
       const outcomes: string[] = []
       const statements = [
         'set colour red',
@@ -107,8 +107,8 @@
         outcomes.push(await caller.tell(text))
       }
       expect(outcomes.filter(outcome => outcome !== 'done')).toEqual([])
-      expect(scene.group.acknowledged.length).toEqual(2)
-      const held = [...scene.dialer.links].filter(link => link.isOpen && link.values.size > 0)
+      expect(fixture.group.acknowledged.length).toEqual(2)
+      const held = [...fixture.dialer.links].filter(link => link.isOpen && link.values.size > 0)
       expect(held.every(link => link.values.get('colour') === 'red')).toEqual(true)
     })
   })
@@ -116,9 +116,9 @@
   // A session writes and then reads through the owner. The position of its own write must be kept by the session's host,
   // whichever owner serves the next statement.
   it('preserves the position of a session’s own write across the relay', async () => {
-    await withOneOwner(async (scene, _owner, other) => {
-      const caller = await scene.caller(other, 'own')
-      for (const server of scene.group.servers.values()) {
+    await withOneOwner(async (fixture, _owner, other) => {
+      const caller = await fixture.caller(other, 'own')
+      for (const server of fixture.group.servers.values()) {
         if (server.role === 'replica' && server.id !== 'i-b') server.isDeaf = true
       }
       await caller.tell('write 1', 'mine')
@@ -141,12 +141,12 @@
   ]
   for (const [name, before, text, expected] of crashes) {
     it(`answers correctly when its owner crashes ${name}`, async () => {
-      await withOneOwner(async (scene, owner, other) => {
-        const caller = await scene.caller(other, 'own')
+      await withOneOwner(async (fixture, owner, other) => {
+        const caller = await fixture.caller(other, 'own')
         for (const each of before) expect(await caller.tell(each)).toEqual('done')
-        scene.dialer.hooks.onCommand = (_server, command) => {
+        fixture.dialer.hooks.onCommand = (_server, command) => {
           if (command.kind !== 'forward' || command.id !== 'x') return 'none'
-          delete scene.dialer.hooks.onCommand
+          delete fixture.dialer.hooks.onCommand
           owner.host.close()
           return 'lostBefore'
         }
@@ -159,8 +159,8 @@
 
   // The owner stops as planned. Hosts that relay to it must switch to another host without refusing a statement.
   it('is served without refusals when its owner stops', async () => {
-    await withOneOwner(async (scene, owner, other) => {
-      const caller = await scene.caller(other, 'own')
+    await withOneOwner(async (fixture, owner, other) => {
+      const caller = await fixture.caller(other, 'own')
       const stopped = owner.host.stop()
       for (let reads = 0; reads < 20; reads += 1) {
         expect(await caller.tell('read 1')).toEqual('done')
@@ -174,27 +174,27 @@
   // callers. The transaction was not ended in time, the owner's process ended while a statement ran in it, and a commit
   // was refused with an unknown outcome.
   it('aborts a long transaction when its owner stops', async () => {
-    await withOneOwner(async (scene, owner, other) => {
-      const caller = await scene.caller(other, 'own')
+    await withOneOwner(async (fixture, owner, other) => {
+      const caller = await fixture.caller(other, 'own')
       await caller.tell('begin')
       await caller.tell('write 1')
       const stopped = owner.host.stop()
       await new Promise(resolve => setTimeout(resolve, 560))
-      scene.dialer.hooks.workMilliseconds = 120
+      fixture.dialer.hooks.workMilliseconds = 120
       expect(await caller.tell('commit')).toEqual('aborted')
       await stopped
-      expect(scene.group.acknowledged).toEqual([])
+      expect(fixture.group.acknowledged).toEqual([])
     })
   })
 
   // An owner stops during a store outage, so the others do not receive the change from the store. They continued to relay
   // statements, which it declined, until its process ended; writes in flight at that moment had an unknown outcome.
   it('relays no more statements to a stopping owner, also during a store outage', async () => {
-    await withOneOwner(async (scene, owner, other) => {
-      const callers = await Promise.all([1, 2, 3, 4].map(() => scene.caller(other, 'own')))
+    await withOneOwner(async (fixture, owner, other) => {
+      const callers = await Promise.all([1, 2, 3, 4].map(() => fixture.caller(other, 'own')))
       for (const caller of callers) await caller.tell('write 0')
-      scene.dialer.hooks.workMilliseconds = 4
-      for (const { store } of scene.hosts) store.mood = 'silent'
+      fixture.dialer.hooks.workMilliseconds = 4
+      for (const { store } of fixture.hosts) store.mood = 'silent'
       const before = other.lines.length
       const stopped = owner.host.stop()
       let isOver = false
@@ -219,13 +219,13 @@
     const options = { connectionLimit: 12, relayPorts: await freePorts(zones.length), zones }
     await inScene(
       zones.length,
-      async (scene, hosts) => {
+      async (fixture, hosts) => {
         const owners = () => hosts.filter(({ host }) => host.find('own')?.desk.isOwned === true)
-        await scene.until(() => owners().length === 1, 'one host owns the service')
+        await fixture.until(() => owners().length === 1, 'one host owns the service')
         const others = hosts.filter(host => !owners().includes(host))
         const homes = others.flatMap(host => [host, host, host, host])
-        const callers = await Promise.all(homes.map(home => scene.caller(home, 'own')))
-        scene.dialer.hooks.workMilliseconds = 30
+        const callers = await Promise.all(homes.map(home => fixture.caller(home, 'own')))
+        fixture.dialer.hooks.workMilliseconds = 30
         owners()[0]?.host.close()
         const settledAt = performance.now() + 700
         const served = new Map<SceneHost, number>()
--- a/packages/host/__tests__/statements.spec.ts
+++ b/packages/host/__tests__/statements.spec.ts
@@ -51,9 +51,9 @@
   ]
   for (const [name, database, texts, outcomes] of conversations) {
     it(name, async () => {
-      await inScene(1, async (scene, [host]) => {
+      await inScene(1, async (fixture, [host]) => {
         if (host === undefined) return
-        const caller = await scene.caller(host, database)
+        const caller = await fixture.caller(host, database)
         expect((await runAll(caller, texts.split(', '))).join(', ')).toEqual(outcomes)
       })
     })
@@ -83,18 +83,18 @@
   ]
   for (const [name, before, text, fault, outcome, runs] of losses) {
     it(`${name}, ${fault}`, async () => {
-      await inScene(1, async (scene, [host]) => {
+      await inScene(1, async (fixture, [host]) => {
         if (host === undefined) return
-        const caller = await scene.caller(host, 'own')
+        const caller = await fixture.caller(host, 'own')
         let faults = 0
-        scene.dialer.hooks.onCommand = (_server, command) => {
+        fixture.dialer.hooks.onCommand = (_server, command) => {
           if (faults > 0 || !isStatement(command, 'x')) return 'none'
           faults += 1
           return fault
         }
         await runAll(caller, before)
         expect(await caller.tell(text, 'x')).toEqual(outcome)
-        expect(scene.group.ran.filter(each => each.endsWith(':x')).length).toEqual(runs)
+        expect(fixture.group.ran.filter(each => each.endsWith(':x')).length).toEqual(runs)
       })
     })
   }
@@ -104,10 +104,10 @@
   it('refuses a statement immediately if it would wait too long', async () => {
     await inScene(
       1,
-      async (scene, [host]) => {
+      async (fixture, [host]) => {
         if (host === undefined) return
-        scene.dialer.hooks.workMilliseconds = 150
-        const callers = await Promise.all([1, 2, 3].map(() => scene.caller(host, 'latest')))
+        fixture.dialer.hooks.workMilliseconds = 150
+        const callers = await Promise.all([1, 2, 3].map(() => fixture.caller(host, 'latest')))
         await callers[0]?.tell('write 1')
         const startedAt = performance.now()
         const asked = callers.map(async caller => {
@@ -126,11 +126,11 @@
 
   // The log line of a late statement must tell an operator how long it waited and how many attempts it took.
   it('logs how a late answer spent its time', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
-      const caller = await scene.caller(host, 'latest')
+      const caller = await fixture.caller(host, 'latest')
       await caller.tell('write 1')
-      scene.dialer.hooks.workMilliseconds = 700
+      fixture.dialer.hooks.workMilliseconds = 700
       expect(await caller.tell('write 2', 'late')).toEqual('done')
       const line = host.lines.find(({ event }) => event === 'statement_late')
       expect([line?.fields.request, line?.fields.tries]).toEqual(['late', 1])
@@ -140,15 +140,15 @@
   // A caller sets a session value. Another caller that gets the same connection afterwards must not see it, and the first
   // must see it on every connection that it gets.
   it('keeps session values separate between sessions that share a connection', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
-      const first = await scene.caller(host, 'latest')
-      const second = await scene.caller(host, 'latest')
+      const first = await fixture.caller(host, 'latest')
+      const second = await fixture.caller(host, 'latest')
       await runAll(first, ['set colour red', 'read 1'])
       await second.tell('read 1')
       const seen = new Map<string, string | undefined>()
-      scene.dialer.hooks.onCommand = (server, command) => {
-        for (const link of scene.dialer.links) {
+      fixture.dialer.hooks.onCommand = (server, command) => {
+        for (const link of fixture.dialer.links) {
           if (link.server === server && command.kind === 'forward') {
             seen.set(command.id, link.values.get('colour'))
           }
@@ -163,23 +163,23 @@
 
   // A caller disconnects within a transaction. The backend connection must be returned to the pool after a rollback.
   it('rolls back the transaction of a caller that disconnected', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
-      const disconnected = await scene.caller(host, 'latest')
+      const disconnected = await fixture.caller(host, 'latest')
       await runAll(disconnected, ['begin', 'write 1'])
       disconnected.leave()
-      const next = await scene.caller(host, 'latest')
+      const next = await fixture.caller(host, 'latest')
       expect(await runAll(next, ['write 2', 'read 1'])).toEqual(['done', 'done'])
-      expect(scene.group.acknowledged.length).toEqual(1)
+      expect(fixture.group.acknowledged.length).toEqual(1)
     })
   })
 
   // A replica stops receiving the log. A session that has just written must not read from it, however near it is.
   it('reads the own writes of a session while a replica is behind', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
-      const caller = await scene.caller(host, 'own')
-      scene.group.server(A).isDeaf = true
+      const caller = await fixture.caller(host, 'own')
+      fixture.group.server(A).isDeaf = true
       expect(await caller.tell('write 1', 'w')).toEqual('done')
       for (let reads = 0; reads < 5; reads += 1) {
         const { answer } = await caller.ask('read 1')
@@ -191,14 +191,14 @@
   // A primary was replaced without this host having been informed, and serves reads from its old log. A route that
   // guarantees the latest data must not use such an answer.
   it('discards reads of a replaced primary', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
-      const caller = await scene.caller(host, 'latest')
+      const caller = await fixture.caller(host, 'latest')
       await caller.tell('write 1', 'old')
-      scene.group.promote(A, 1000)
-      await scene.until(() => scene.group.primary.id === A, 'the other leads')
-      scene.group.server(P).isDeaf = true
-      scene.group.commit(scene.group.primary, ['new'])
+      fixture.group.promote(A, 1000)
+      await fixture.until(() => fixture.group.primary.id === A, 'the other leads')
+      fixture.group.server(P).isDeaf = true
+      fixture.group.commit(fixture.group.primary, ['new'])
       const { answer } = await caller.ask('read 1')
       expect(answer.kind === 'rows' && answer.rows[0]).toEqual('new')
     })
@@ -206,13 +206,13 @@
 
   // A full server rejects connections. Reads must go to another server at once instead of waiting for a free slot.
   it('reads from another server when one accepts no connections', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
       for (const server of [A, B]) {
-        scene.dialer.cut(server)
-        scene.group.server(server).connections = 25
+        fixture.dialer.cut(server)
+        fixture.group.server(server).connections = 25
       }
-      const caller = await scene.caller(host, 'bounded')
+      const caller = await fixture.caller(host, 'bounded')
       const startedAt = performance.now()
       expect(await caller.tell('read 1')).toEqual('done')
       expect(performance.now() - startedAt < 700).toEqual(true)
@@ -223,16 +223,16 @@
   // caller's write ran and was refused with an unknown outcome; only an occasional write may be sent as a test, and the
   // others must be refused as not run.
   it('sends few writes to a primary whose replicas are unreachable', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
-      const caller = await scene.caller(host, 'own')
-      for (const id of [A, B]) scene.group.server(id).isDeaf = true
+      const caller = await fixture.caller(host, 'own')
+      for (const id of [A, B]) fixture.group.server(id).isDeaf = true
       const outcomes: string[] = []
       for (let count = 0; count < 20; count += 1) outcomes.push(await caller.tell('write 1'))
       const unknown = outcomes.filter(outcome => outcome === 'outcomeUnknown').length
       const unrun = outcomes.filter(outcome => outcome === 'notRun').length
       expect([unknown <= 3, unknown + unrun]).toEqual([true, 20])
-      for (const id of [A, B]) scene.group.server(id).isDeaf = false
+      for (const id of [A, B]) fixture.group.server(id).isDeaf = false
       await new Promise(resolve => setTimeout(resolve, 300))
       expect(await caller.tell('write 1')).toEqual('done')
     })
@@ -242,13 +242,13 @@
   // requests were queued for the whole 0.8 s of their route's timeout and refused as not run only then. If no connection
   // could be opened for a while, they must be refused immediately.
   it('refuses statements immediately if it holds no connection and the server is full', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
-      const caller = await scene.caller(host, 'own')
+      const caller = await fixture.caller(host, 'own')
       expect(await caller.tell('write 1')).toEqual('done')
-      scene.dialer.cut(P)
-      const server = scene.group.server(P)
-      server.connections = scene.group.connectionLimit
+      fixture.dialer.cut(P)
+      const server = fixture.group.server(P)
+      server.connections = fixture.group.connectionLimit
       await new Promise(resolve => setTimeout(resolve, 400))
       const askedAt = performance.now()
       expect(await caller.tell('write 1')).toEqual('notRun')
@@ -262,10 +262,10 @@
   // Six callers send a statement at once while one connection is open and the others are being opened. The forecast of
   // the wait considered only the open connection and refused half of the statements.
   it('includes connections that are being opened in the forecast wait', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
-      scene.dialer.hooks.workMilliseconds = 60
-      const callers = await Promise.all([1, 2, 3, 4, 5, 6].map(() => scene.caller(host, 'own')))
+      fixture.dialer.hooks.workMilliseconds = 60
+      const callers = await Promise.all([1, 2, 3, 4, 5, 6].map(() => fixture.caller(host, 'own')))
       for (let count = 0; count < 5; count += 1) await callers[0]?.tell('write 1')
       const outcomes = await Promise.all(callers.map(caller => caller.tell('write 2')))
       expect(outcomes.filter(outcome => outcome !== 'done')).toEqual([])
@@ -276,14 +276,14 @@
   // a primary that confirms no writes, and rolled back the next commit without sending it ("aborted: unconfirmed" to a
   // commit that had been pending for 333 ms, of which the host had spent 0).
   it('does not treat its own stall as a primary whose writes are not confirmed', async () => {
-    await inScene(1, async (scene, [host]) => {
+    await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
-      const [caller, other] = [await scene.caller(host, 'own'), await scene.caller(host, 'own')]
+      const [caller, other] = [await fixture.caller(host, 'own'), await fixture.caller(host, 'own')]
       await caller.tell('begin')
       await caller.tell('write 1')
       // Allow the periodic check of the servers to run first.
       await new Promise(resolve => setTimeout(resolve, 150))
-      scene.dialer.hooks.workMilliseconds = 100
+      fixture.dialer.hooks.workMilliseconds = 100
       const asked = other.tell('write 2')
       await new Promise(resolve => setTimeout(resolve, 20))
       const until = performance.now() + 400
--- a/packages/host/__tests__/support/scene.ts
+++ b/packages/host/__tests__/support/scene.ts
@@ -280,16 +280,16 @@
 /** Runs a scenario in a fixture of its own, and checks afterwards that no acknowledged write was lost. */
 export async function inScene(
   hosts: number,
-  scenario: (scene: Scene, hosts: readonly SceneHost[]) => Promise<void>,
+  scenario: (fixture: Scene, hosts: readonly SceneHost[]) => Promise<void>,
   options: SceneOptions = {},
 ): Promise<void> {
-  const scene = new Scene(options)
+  const fixture = new Scene(options)
   try {
-    for (let index = 1; index <= hosts; index += 1) scene.add(`host-${String(index)}`)
-    await scene.ready()
-    await scenario(scene, scene.hosts)
-    if (scene.group.violations.length > 0) throw new Error(scene.group.violations.join('; '))
+    for (let index = 1; index <= hosts; index += 1) fixture.add(`host-${String(index)}`)
+    await fixture.ready()
+    await scenario(fixture, fixture.hosts)
+    if (fixture.group.violations.length > 0) throw new Error(fixture.group.violations.join('; '))
   } finally {
-    await scene.close()
+    await fixture.close()
   }
 }
