--- a/packages/host/src/relayMessages.ts
+++ b/packages/host/src/relayMessages.ts
@@ -105,7 +105,7 @@
 export function readRequest(
   message: RequestMessage,
   route: Route,
-  desk: ServiceDesk,
+  service: ServiceDesk,
   now: Milliseconds,
 ): StatementRequest {
   const values = new SessionValues()
@@ -115,7 +115,7 @@
   }
   const session: SessionState = { values, ownPosition: readPosition(message.own) }
   return {
-    desk,
+    desk: service,
     route,
     customer: message.customer,
     session,
--- a/packages/host/src/relayServer.ts
+++ b/packages/host/src/relayServer.ts
@@ -51,15 +51,15 @@
 export class RelayServer {
   readonly #context: HostContext
   readonly #runner: StatementRunner
-  readonly #desks: RelayDesks
+  readonly #services: RelayDesks
   #server: Server | null = null
   readonly #sessions = new Set<RelaySession>()
   #isLeaving = false
 
-  constructor(context: HostContext, runner: StatementRunner, desks: RelayDesks) {
+  constructor(context: HostContext, runner: StatementRunner, services: RelayDesks) {
     this.#context = context
     this.#runner = runner
-    this.#desks = desks
+    this.#services = services
   }
 
   /** Whether statements run or transactions are open on behalf of other hosts. */
@@ -94,7 +94,7 @@
   }
 
   #accept(socket: Socket): void {
-    const session = new RelaySession(this.#context, this.#runner, this.#desks, socket)
+    const session = new RelaySession(this.#context, this.#runner, this.#services, socket)
     this.#sessions.add(session)
     if (this.#isLeaving) session.leave()
     session.onClose(() => {
@@ -107,7 +107,7 @@
 class RelaySession {
   readonly #context: HostContext
   readonly #runner: StatementRunner
-  readonly #desks: RelayDesks
+  readonly #services: RelayDesks
   readonly #connection: JsonRpcConnection
   readonly #routes = new ReceivedRoutes()
   readonly #held = new Map<number, HeldTransaction>()
@@ -115,14 +115,14 @@
   #endsTransactions = false
   #lastTransaction = 0
 
-  constructor(context: HostContext, runner: StatementRunner, desks: RelayDesks, socket: Socket) {
+  constructor(context: HostContext, runner: StatementRunner, services: RelayDesks, socket: Socket) {
     this.#context = context
     this.#runner = runner
-    this.#desks = desks
+    this.#services = services
     this.#connection = new JsonRpcConnection(socket, {
       [RELAY_METHODS.ping]: () => true,
-      [RELAY_METHODS.news]: params => this.#desks.news.answer(params as NewsQuestion),
-      [RELAY_METHODS.grant]: params => this.#desks.limits.answer(params as GrantRequest),
+      [RELAY_METHODS.news]: params => this.#services.news.answer(params as NewsQuestion),
+      [RELAY_METHODS.grant]: params => this.#services.limits.answer(params as GrantRequest),
       [RELAY_METHODS.single]: params => this.#single(params as RequestMessage),
       [RELAY_METHODS.begin]: params => this.#begin(params as BeginMessage),
       [RELAY_METHODS.continue]: params => this.#continue(params as ContinueMessage),
@@ -185,8 +185,8 @@
     if (held.idleTimer !== null) clearTimeout(held.idleTimer)
     // While a statement runs, only the code after it may end the transaction.
     this.#held.delete(message.transaction)
-    const { desk } = held.transaction
-    const request = readRequest(message.request, route, desk, this.#context.clock.now())
+    const { desk: service } = held.transaction
+    const request = readRequest(message.request, route, service, this.#context.clock.now())
     this.#running += 1
     const continued = await this.#runner.continue(request, held.transaction)
     this.#running -= 1
@@ -196,16 +196,16 @@
   /** Null if this host can not serve the request. */
   #read(message: RequestMessage): StatementRequest | null {
     const route = this.#routes.read(message.route)
-    const desk = route === null ? null : this.#desks.serve(route.service)
-    if (route === null || desk === null) return null
-    return readRequest(message, route, desk, this.#context.clock.now())
+    const service = route === null ? null : this.#services.serve(route.service)
+    if (route === null || service === null) return null
+    return readRequest(message, route, service, this.#context.clock.now())
   }
 
   /** Whether to decline a request for the primary, so that the other host tries another owner that may reach it. */
   #isPrimaryOutOfReach(request: StatementRequest, readOnly: boolean): boolean {
-    const { desk } = request
-    if (!desk.isOwned || !needsPrimary(request, readOnly)) return false
-    return !desk.reachesPrimary(this.#context.clock.now())
+    const { desk: service } = request
+    if (!service.isOwned || !needsPrimary(request, readOnly)) return false
+    return !service.reachesPrimary(this.#context.clock.now())
   }
 
   /**
@@ -223,7 +223,7 @@
       this.#runner.endTransaction(transaction, 'open')
       return null
     }
-    const limit = this.#desks.idleTransactionMilliseconds + IDLE_MARGIN_MILLISECONDS
+    const limit = this.#services.idleTransactionMilliseconds + IDLE_MARGIN_MILLISECONDS
     const end = () => {
       this.#end(id)
     }
--- a/packages/host/src/relayingRunner.ts
+++ b/packages/host/src/relayingRunner.ts
@@ -31,7 +31,11 @@
    * The other hosts in the order in which they are tried; null if this host serves the request itself.
    * `atPrimary`: only the primary can run the request.
    */
-  peersFor(desk: ServiceDesk, customer: CustomerName | null, atPrimary: boolean): RelayPeer[] | null
+  peersFor(
+    service: ServiceDesk,
+    customer: CustomerName | null,
+    atPrimary: boolean,
+  ): RelayPeer[] | null
 }
 
 interface RelayedCall {
@@ -122,8 +126,8 @@
   }
 
   /** Since no owner accepted the request, makes this host active for the service and returns its local runner. */
-  #standInForOwners({ desk }: StatementRequest): StatementRunner {
-    if (!desk.isOwned) desk.standIn(this.#context.clock.now())
+  #standInForOwners({ desk: service }: StatementRequest): StatementRunner {
+    if (!service.isOwned) service.standIn(this.#context.clock.now())
     return this.#local
   }
 
--- a/packages/host/src/serverAccess.ts
+++ b/packages/host/src/serverAccess.ts
@@ -80,12 +80,12 @@
     request: StatementRequest,
     excluded: Set<BackendServerId>,
   ): Promise<BackendServerState | null> {
-    const { desk, route, session, customer } = request
+    const { desk: service, route, session, customer } = request
     const now = this.#context.clock.now()
-    const need = desk.need(route.guarantee, session.ownPosition, now)
+    const need = service.need(route.guarantee, session.ownPosition, now)
     if (need.kind === 'primary') return this.awaitPrimary(request)
     const reader =
-      need.kind === 'unknown' ? null : desk.chooseReader(need.position, excluded, now, customer)
+      need.kind === 'unknown' ? null : service.chooseReader(need.position, excluded, now, customer)
     if (reader !== null) return reader
     excluded.clear()
     await this.#awaitChange(request)
@@ -154,12 +154,12 @@
     server: BackendServerState,
     excluded: ReadonlySet<BackendServerId>,
   ): BackendServerState | null {
-    const { desk, route, session, customer } = request
+    const { desk: service, route, session, customer } = request
     const now = this.#context.clock.now()
-    const need = desk.need(route.guarantee, session.ownPosition, now)
+    const need = service.need(route.guarantee, session.ownPosition, now)
     if (need.kind !== 'position') return null
     const others = new Set([...excluded, server.entry.server])
-    return desk.chooseReadyReader(need.position, others, now, customer)
+    return service.chooseReadyReader(need.position, others, now, customer)
   }
 
   /** Runs a write, or a commit of writes, and records whether the server confirmed it. */
@@ -181,9 +181,9 @@
     excluded: Set<BackendServerId>,
   ): Promise<void> {
     excluded.add(server.entry.server)
-    const { desk, customer } = request
+    const { desk: service, customer } = request
     const now = this.#context.clock.now()
-    if (desk.chooseReader(null, excluded, now, customer) !== null) return
+    if (service.chooseReader(null, excluded, now, customer) !== null) return
     excluded.clear()
     await this.backOffAfter({ kind: 'refused', refusal: 'busy' })
   }
@@ -216,7 +216,7 @@
   }
 
   /** Records what an answer tells about the server's log position. */
-  recordProgress(
+  recordLogProgress(
     server: BackendServerState,
     after: LogPosition | null,
     outcome: AttemptOutcome,
--- a/packages/host/src/serviceDesk.ts
+++ b/packages/host/src/serviceDesk.ts
@@ -35,7 +35,7 @@
 import { Signal } from './waiting.js'
 
 /** How long a host stays active for a service that it does not own after it last served it in place of an owner. */
-const STAND_IN_MILLISECONDS = 5000
+const STAND_IN_PERIOD_MILLISECONDS = 5000
 
 /** Slightly longer than the longest interval between two probes of a primary. */
 const RECENTLY_HEARD_MILLISECONDS = 700
@@ -83,7 +83,7 @@
 
   /** Makes this host serve requests of other hosts or of its own callers that no owner accepts. */
   standIn(now: Milliseconds): void {
-    this.#standInUntil = addMilliseconds(now, STAND_IN_MILLISECONDS)
+    this.#standInUntil = addMilliseconds(now, STAND_IN_PERIOD_MILLISECONDS)
   }
 
   get configuration(): ServiceConfiguration {
--- a/packages/host/src/statementReport.ts
+++ b/packages/host/src/statementReport.ts
@@ -12,14 +12,14 @@
   request: StatementRequest,
   { answer, reason }: StatementResult,
 ): void {
-  const { route, statement, desk, isWrite, timing } = request
+  const { route, statement, desk: service, isWrite, timing } = request
   const elapsed = clock.now() - request.arrivedAt
   const description = {
     request: statement.id,
     database,
     route: route.name,
     statement: statement.body.kind,
-    primary: desk.primary?.entry.server ?? null,
+    primary: service.primary?.entry.server ?? null,
     tookMilliseconds: Math.round(elapsed),
   }
   if (answer.kind === 'refused') {
--- a/packages/host/src/statementRunner.ts
+++ b/packages/host/src/statementRunner.ts
@@ -164,7 +164,7 @@
     const after = need.kind === 'position' ? need.position : null
     if (after !== null) server.progress.noteAsked(after, sentAt)
     const outcome = await this.#access.attemptSingle(request, server, link, after, after === null)
-    this.#access.recordProgress(server, after, outcome)
+    this.#access.recordLogProgress(server, after, outcome)
     if (outcome.kind === 'answered') return { kind: 'answered', result: answered(outcome) }
     this.#access.recordFailure(request, server, outcome.mishap, sentAt)
     return { kind: 'mishap', outcome, server }
--- a/packages/host/src/transactionRunner.ts
+++ b/packages/host/src/transactionRunner.ts
@@ -145,7 +145,7 @@
     excluded: Set<BackendServerId>,
   ): Promise<BeginOutcome | null> {
     const { clock } = this.#context
-    const { desk, route, session } = request
+    const { desk: service, route, session } = request
     const atPrimary = needsPrimary(request, readOnly)
     const server = atPrimary
       ? await this.#access.awaitPrimary(request)
@@ -164,12 +164,18 @@
     }
     const { link } = access
     const sentAt = clock.now()
-    const need = atPrimary ? null : desk.need(route.guarantee, session.ownPosition, sentAt)
+    const need = atPrimary ? null : service.need(route.guarantee, session.ownPosition, sentAt)
     if (need?.kind === 'unknown') {
       server.pool.release(link)
       return null
     }
-    const transaction: LocalTransaction = { kind: 'local', desk, server, link, hasWritten: false }
+    const transaction: LocalTransaction = {
+      kind: 'local',
+      desk: service,
+      server,
+      link,
+      hasWritten: false,
+    }
     if (!(await applySessionValues(this.#context, link, session.values, request.deadline))) {
       server.pool.discard(link)
       return lostAttempt(server)
@@ -196,11 +202,11 @@
         status: begun.status,
         position: begun.position,
       } as const
-      this.#access.recordProgress(server, after, outcome)
+      this.#access.recordLogProgress(server, after, outcome)
       this.#access.recordFailure(request, server, outcome.mishap, sentAt)
       return { kind: 'mishap', outcome, server }
     }
-    if (atPrimary) desk.provedToLead(server.entry.server, sentAt, begun.position)
+    if (atPrimary) service.provedToLead(server.entry.server, sentAt, begun.position)
     return this.#firstStatement(request, transaction)
   }
 
