--- a/packages/host/src/backendServerState.ts
+++ b/packages/host/src/backendServerState.ts
@@ -37,11 +37,11 @@
     context: HostContext,
     entry: BackendServerEntry,
     connectionLimit: number,
-    holders: () => number,
+    holdingHosts: () => number,
   ) {
     this.#context = context
     this.#entry = entry
-    this.pool = new ServerPool(context, addressOf(entry), connectionLimit, holders)
+    this.pool = new ServerPool(context, addressOf(entry), connectionLimit, holdingHosts)
     this.distance = distanceOf(context, entry)
     const floors = [
       INITIAL_LATENCY_IN_ZONE,
--- a/packages/host/src/pauses.ts
+++ b/packages/host/src/pauses.ts
@@ -22,8 +22,8 @@
   left(name: Name): number {
     const until = this.#until.get(name)
     if (until === undefined) return 0
-    const left = until - this.#clock.now()
-    if (left > 0) return left
+    const remaining = until - this.#clock.now()
+    if (remaining > 0) return remaining
     this.#until.delete(name)
     return 0
   }
--- a/packages/host/src/serverPool.ts
+++ b/packages/host/src/serverPool.ts
@@ -227,7 +227,7 @@
     return this.#queue.next(waiter => canUse(pooled, waiter))
   }
 
-  #isStarved({ use, since: since }: LinkWaiter): boolean {
+  #isStarved({ use, since }: LinkWaiter): boolean {
     if (this.#opener.openingByCustomer.has(customerOf(use))) return false
     return this.#context.clock.now() > addMilliseconds(since, STARVATION_MILLISECONDS)
   }
--- a/packages/host/src/serviceDesk.ts
+++ b/packages/host/src/serviceDesk.ts
@@ -143,8 +143,11 @@
     this.#servers.get(entry.server)?.close()
     this.#leadership.forget(entry.server)
     const limit = this.#configuration.connectionLimit
-    const holders = (): number => this.#holdersOf(entry.server)
-    this.#servers.set(entry.server, new BackendServerState(this.#context, entry, limit, holders))
+    const holdingHosts = (): number => this.#holdersOf(entry.server)
+    this.#servers.set(
+      entry.server,
+      new BackendServerState(this.#context, entry, limit, holdingHosts),
+    )
     if (entry.role === 'primary') this.#acceptPrimary(entry.server, now, 'entry')
     this.changed.raise()
   }
