--- a/packages/host/__tests__/customers.spec.ts
+++ b/packages/host/__tests__/customers.spec.ts
@@ -125,8 +125,8 @@
 })
 
 describe('connections by customer', () => {
-  // Few connections, many customers, and hosts that relay statements to each other. A statement that ran on a connection
-  // of another customer would run with that customer's identity.
+  // Few connections, many customers, and hosts that relay statements to each other. A statement that ran on a
+  // connection of another customer would run with that customer's identity.
   it('run only statements of their own customer', async () => {
     const names = ['alfa', 'bravo', 'carol', 'delta', 'echo', 'foxtrot', 'golf', 'hotel']
     const customers = names.map(name => customer(name, [`key-of-${name}`]))
@@ -251,7 +251,8 @@
     })
   })
 
-  // The hosts that hold two of the three parts of the limit crash. Operations must still be granted from the third part.
+  // The hosts that hold two of the three parts of the limit crash. Operations must still be granted from the third
+  // part.
   it('still admits operations after the loss of hosts that hold parts of it', async () => {
     await withThreeHosts(async (fixture, hosts) => {
       const [left, ...others] = hosts
@@ -263,7 +264,7 @@
 })
 
 describe('keys', () => {
-  // A key in a log line could be used by anyone who reads the log.
+  // A key in a log line or in a message between hosts could be used by anyone who reads it.
   it('do not appear in log lines', async () => {
     const options = { customers: [ALFA, BRAVO], relayPorts: await freePorts(2) }
     await inScene(
--- a/packages/host/__tests__/hostLife.spec.ts
+++ b/packages/host/__tests__/hostLife.spec.ts
@@ -20,8 +20,8 @@
 }
 
 describe('the lifecycle of an entry host', () => {
-  // The host starts while the store is unavailable. It must not report that it is ready, and must reject a caller before
-  // the caller's connection timeout; once the store answers, it must serve normally.
+  // The host starts while the store is unavailable. It must not report that it is ready, and must reject a caller
+  // before the caller's connection timeout; once the store answers, it must serve normally.
   it('starts while the store is unavailable and serves once it answers', async () => {
     await inScene(0, async fixture => {
       const store = new StoreConnection(fixture.store)
@@ -125,10 +125,10 @@
     })
   })
 
-  // A planned stop cut off statements that servers had already run. Callers that connected after the existing sessions had
-  // been closed were not closed themselves and worked until the process ended: all of 26 cut sessions had been accepted
-  // 2,279 to 3,593 ms after the signal, while only sessions of the first 1,000 ms were closed, and no answer had been
-  // pending for longer than 54 ms.
+  // A planned stop cut off statements that servers had already run. Callers that connected after the existing sessions
+  // had been closed were not closed themselves and worked until the process ended: all of 26 cut sessions had been
+  // accepted 2,279 to 3,593 ms after the signal, while only sessions of the first 1,000 ms were closed, and no answer
+  // had been pending for longer than 54 ms.
   it('has answered every statement when it has stopped, including those of callers that connected late', async () => {
     await inScene(0, async fixture => {
       const added = fixture.add('host-1', 2000)
@@ -161,8 +161,8 @@
   })
 
   // A caller connected to the stopping host and began a transaction shortly before half of the grace period had passed.
-  // The transaction was rolled back at that point, during its commit, although the process ran for as long again: commits
-  // pending for 16 to 21 ms were refused with "the transaction was rolled back".
+  // The transaction was rolled back at that point, during its commit, although the process ran for as long again:
+  // commits pending for 16 to 21 ms were refused with "the transaction was rolled back".
   it('lets a transaction commit that began while the host was stopping', async () => {
     await inScene(0, async fixture => {
       const added = fixture.add('host-1', 4000)
@@ -200,8 +200,8 @@
     })
   })
 
-  // A second stop signal arrived during the planned stop. The second call returned as if the stop had completed, and the
-  // process ended while statements were running.
+  // A second stop signal arrived during the planned stop. The second call returned as if the stop had completed, and
+  // the process ended while statements were running.
   it('does not stop sooner when it is signalled twice', async () => {
     await inScene(0, async fixture => {
       const added = fixture.add('host-1', 2000)
@@ -233,7 +233,7 @@
 
   // As above, but the caller sends another statement before the commit. The answer was "malformed", which does not tell
   // that nothing was kept; the first answer after the rollback must be "aborted".
-  it('refuses the first statement after ending an idle transaction with "aborted", and later ones with "malformed"', async () => {
+  it('answers "aborted" once after ending an idle transaction, then "malformed"', async () => {
     await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
       const caller = await idleInTransaction(fixture, host)
@@ -245,7 +245,8 @@
     })
   })
 
-  // Entries of servers expire during a store outage and return shortly afterwards. No statement may be refused meanwhile.
+  // Entries of servers expire during a store outage and return shortly afterwards. No statement may be refused
+  // meanwhile.
   it('keeps using servers whose entries expire briefly', async () => {
     await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
--- a/packages/host/__tests__/relay.spec.ts
+++ b/packages/host/__tests__/relay.spec.ts
@@ -30,8 +30,8 @@
 }
 
 describe('a host that can not reach the primary', () => {
-  // A network partition separates one host from the primary; the others reach it. The writes of this host's callers must
-  // be relayed through them, without a change of primary, which would affect every host.
+  // A network partition separates one host from the primary; the others reach it. The writes of this host's callers
+  // must be relayed through them, without a change of primary, which would cut the others off from the new one.
   it('relays writes through hosts that reach the primary, without a change of primary', async () => {
     await inScene(
       3,
@@ -113,8 +113,8 @@
     })
   })
 
-  // A session writes and then reads through the owner. The position of its own write must be kept by the session's host,
-  // whichever owner serves the next statement.
+  // A session writes and then reads through the owner. The position of its own write must be kept by the session's
+  // host, whichever owner serves the next statement.
   it('preserves the position of a session’s own write across the relay', async () => {
     await withOneOwner(async (fixture, _owner, other) => {
       const caller = await fixture.caller(other, 'own')
@@ -130,8 +130,8 @@
   })
 
   /**
-   * In each case the host that holds the connections crashes. A transaction that it ran must be aborted, the outcome of a
-   * write or commit in flight must be unknown, and the next statement must be served by another host.
+   * In each case the host that holds the connections crashes. A transaction that it ran must be aborted, the outcome of
+   * a write or commit in flight must be unknown, and the next statement must be served by another host.
    */
   const crashes: readonly (readonly [string, readonly string[], string, string])[] = [
     ['inside a transaction', ['begin', 'write 1'], 'write 2', 'aborted'],
@@ -187,8 +187,9 @@
     })
   })
 
-  // An owner stops during a store outage, so the others do not receive the change from the store. They continued to relay
-  // statements, which it declined, until its process ended; writes in flight at that moment had an unknown outcome.
+  // An owner stops during a store outage, so the others do not receive the change from the store. They continued to
+  // relay statements, which it declined, until its process ended; writes in flight at that moment had an unknown
+  // outcome.
   it('relays no more statements to a stopping owner, also during a store outage', async () => {
     await withOneOwner(async (fixture, owner, other) => {
       const callers = await Promise.all([1, 2, 3, 4].map(() => fixture.caller(other, 'own')))
@@ -211,9 +212,9 @@
     })
   })
 
-  // The only owner crashes, and one host per availability zone serves in its place. Each one opened connections as if it
-  // were the only holder: the first two took nearly all, the third zone was refused as "not run", and so was every caller
-  // after the owner's return, for the 5 s for which the others kept unused connections.
+  // The only owner crashes, and one host per availability zone serves in its place. Each one opened connections as if
+  // it were the only holder: the first two took nearly all, the third zone was refused as "not run", and so was every
+  // caller after the owner's return, for the 5 s for which the others kept unused connections.
   it('is served in every availability zone after its owner crashed', async () => {
     const zones = ['a', 'b', 'c', 'a', 'b', 'c']
     const options = { connectionLimit: 12, relayPorts: await freePorts(zones.length), zones }
--- a/packages/host/__tests__/statements.spec.ts
+++ b/packages/host/__tests__/statements.spec.ts
@@ -137,8 +137,8 @@
     })
   })
 
-  // A caller sets a session value. Another caller that gets the same connection afterwards must not see it, and the first
-  // must see it on every connection that it gets.
+  // A caller sets a session value. Another caller that gets the same connection afterwards must not see it, and the
+  // first must see it on every connection that it gets.
   it('keeps session values separate between sessions that share a connection', async () => {
     await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
@@ -239,8 +239,8 @@
   })
 
   // Other hosts hold all connections that the primary accepts. The forecast of the wait assumed a queue that moves, so
-  // requests were queued for the whole 0.8 s of their route's timeout and refused as not run only then. If no connection
-  // could be opened for a while, they must be refused immediately.
+  // requests were queued for the whole 0.8 s of their route's timeout and refused as not run only then. If no
+  // connection could be opened for a while, they must be refused immediately.
   it('refuses statements immediately if it holds no connection and the server is full', async () => {
     await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
@@ -272,9 +272,9 @@
     })
   })
 
-  // The host's process stalls for 0.4 s during a write, as on an overloaded machine. The host attributed its own stall to
-  // a primary that confirms no writes, and rolled back the next commit without sending it ("aborted: unconfirmed" to a
-  // commit that had been pending for 333 ms, of which the host had spent 0).
+  // The host's process stalls for 0.4 s during a write, as on an overloaded machine. The host attributed its own stall
+  // to a primary that confirms no writes, and rolled back the next commit without sending it ("aborted: unconfirmed" to
+  // a commit that had been pending for 333 ms, of which the host had spent 0).
   it('does not treat its own stall as a primary whose writes are not confirmed', async () => {
     await inScene(1, async (fixture, [host]) => {
       if (host === undefined) return
--- a/packages/host/__tests__/support/scene.ts
+++ b/packages/host/__tests__/support/scene.ts
@@ -115,7 +115,10 @@
   readonly customers?: readonly Customer[]
   /** Enables the enforcement of customers' limits. */
   readonly limitTolerance?: HostSettings['limitTolerance']
-  /** Enables strict revocation: hosts refuse keys whose revocation they may not have received within this many milliseconds. */
+  /**
+   * Enables strict revocation: hosts refuse keys whose revocation they may not have received within this many
+   * milliseconds.
+   */
   readonly strictRevocation?: number
 }
 
--- a/packages/host/src/backendServerState.ts
+++ b/packages/host/src/backendServerState.ts
@@ -101,8 +101,9 @@
   }
 
   /**
-   * Probes a server that owes an answer and has sent nothing for a while. The probe is a new connection, since open ones
-   * may be broken while the server is well, and the server's operating system answers it independently of its load.
+   * Probes a server that owes an answer and has sent nothing for a while. The probe is a new connection, since open
+   * ones may be broken while the server is well, and the server's operating system answers it independently of its
+   * load.
    */
   watchLife(now: Milliseconds): void {
     if (this.#touchStartedAt !== null) {
--- a/packages/host/src/relayPeer.ts
+++ b/packages/host/src/relayPeer.ts
@@ -118,7 +118,9 @@
     return answer.unwrapOr(null)
   }
 
-  /** Ends a transaction there. Without a connection nothing is sent: the other host ends it when the connection closes. */
+  /**
+   * Ends a transaction there. Without a connection nothing is sent: the other host ends it when the connection closes.
+   */
   end(transaction: number): void {
     const message: EndMessage = { transaction }
     if (this.#connection?.closed === false) {
--- a/packages/host/src/relayRoutes.ts
+++ b/packages/host/src/relayRoutes.ts
@@ -1,6 +1,7 @@
 /**
- * Encoding of routes in messages between hosts. A route is most of a short statement's message, and a connection carries
- * the same few repeatedly, so each route is sent in full once per connection and referred to by its number afterwards.
+ * Encoding of routes in messages between hosts. A route is most of a short statement's message, and a connection
+ * carries the same few repeatedly, so each route is sent in full once per connection and referred to by its number
+ * afterwards.
  *
  * @internal
  */
--- a/packages/host/src/relayServer.ts
+++ b/packages/host/src/relayServer.ts
@@ -77,7 +77,9 @@
     this.#server.listen({ host, port })
   }
 
-  /** Notifies other hosts to send no new requests. Requests that are already on the way are declined without being run. */
+  /**
+   * Notifies other hosts to send no new requests. Requests that are already on the way are declined without being run.
+   */
   leave(): void {
     this.#isLeaving = true
     for (const session of this.#sessions) session.leave()
--- a/packages/host/src/relayingRunner.ts
+++ b/packages/host/src/relayingRunner.ts
@@ -1,7 +1,7 @@
 /**
  * Runs statements on this host if it holds connections to the service, and relays them to an owner otherwise. The
- * guarantees to callers hold across the hop: if a statement was sent to the owner and its answer is lost, the outcome is
- * that of a lost backend connection.
+ * guarantees to callers hold across the hop: if a statement was sent to the owner and its answer is lost, the outcome
+ * is that of a lost backend connection.
  *
  * @internal
  */
--- a/packages/host/src/sessionStatements.ts
+++ b/packages/host/src/sessionStatements.ts
@@ -1,7 +1,7 @@
 /**
  * Executes the statements of one session: keeps its values and transaction state, and passes on what has to run on a
- * backend server. Statements that change only the session are answered here, BEGIN included, so that a transaction takes
- * a connection no earlier than its first statement.
+ * backend server. Statements that change only the session are answered here, BEGIN included, so that a transaction
+ * takes a connection no earlier than its first statement.
  *
  * @internal
  */
--- a/packages/host/src/transactionRunner.ts
+++ b/packages/host/src/transactionRunner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs transactions on this host's connections. A transaction is bound to one connection from its first statement to its
- * end.
+ * Runs transactions on this host's connections. A transaction is bound to one connection from its first statement to
+ * its end.
  *
  * @internal
  */
