--- a/packages/host/src/changeUrgency.ts
+++ b/packages/host/src/changeUrgency.ts
@@ -1,5 +1,5 @@
 /**
- * Whether callers wait while this host has not heard of the next change in the store.
+ * Decides whether callers of this host wait for the next change in the store.
  *
  * @internal
  */
@@ -7,17 +7,17 @@
 import type { DirectoryChange } from '@nutmegcourse/protocol'
 import type { BackendServerId } from '@nutmegcourse/shared'
 
-/** What this host does with the services that changes concern. */
+/** How this host is involved with the services that changes concern. */
 export interface ServiceInterest {
-  /** It holds connections to the service's servers, or may have to act for it. */
+  /** Whether it holds connections to the service's servers, or may have to change its primary. */
   worksWith(service: string): boolean
   serviceOf(server: BackendServerId): string | null
 }
 
 /**
- * A change is urgent where a primary moves or a server leaves, and then only for hosts that work
- * with that service. Where a few hosts own a service, the others hand statements to them and lose nothing
- * by hearing later; a vote of one owner would else end the watch of every host of the fleet.
+ * A change is urgent where a primary moves or a server leaves, and then only for hosts that work with that service.
+ * Hosts that do not own a service forward its statements to the owners, so a delay costs them nothing; otherwise a
+ * vote of one owner would end the watch of every host of the fleet.
  */
 export function isUrgent(change: DirectoryChange, interest: ServiceInterest): boolean {
   switch (change.kind) {
--- a/packages/host/src/configurationHolder.ts
+++ b/packages/host/src/configurationHolder.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' newest configuration. Versions only grow: whatever answer comes late, a host never
- * goes back in one life.
+ * Holds the newest configuration of the operators. Versions only increase: a late response never makes a running
+ * host return to an older one.
  *
  * @internal
  */
@@ -18,7 +18,7 @@
     return this.#configuration
   }
 
-  /** False when it is not newer. */
+  /** Puts a newer configuration in force; returns false for one that is not newer. */
   replace(configuration: FleetConfiguration): boolean {
     if (this.#configuration !== null && configuration.version <= this.#configuration.version) {
       return false
--- a/packages/host/src/decisionEvents.ts
+++ b/packages/host/src/decisionEvents.ts
@@ -1,6 +1,6 @@
 /**
- * Every event that an entry host logs: when, and what its fields say. docs/LOGS.md is made from
- * this table.
+ * Every event that an entry host logs: when it is written, and what its fields mean. docs/LOGS.md is
+ * generated from this table.
  */
 
 interface EventDescription {
@@ -11,89 +11,96 @@
 const SERVER_FIELDS = {
   server: 'id of the backend server',
   service: 'its service',
-  role: 'what its entry says: primary or replica',
+  role: 'the role in its entry: primary or replica',
   zone: 'its availability zone',
   isLeaving: 'whether it is about to stop',
 }
 
 export const EVENTS = {
   started: { when: 'The process starts.', fields: { settings: 'path of its settings file' } },
-  stopping: { when: 'A signal to stop came.', fields: {} },
+  stopping: { when: 'The process received a signal to stop.', fields: {} },
   stop_step: {
     when: 'A step of the planned stop is over.',
     fields: {
       step: 'restingClosed, intakeClosed, transactionsEnded or ended',
       sessions: 'sessions that are open',
-      busySessions: 'of them, with a statement owed or a transaction open',
+      busySessions: 'of them, those with an unanswered statement or an open transaction',
       isRelaying: 'whether statements or transactions run here for other hosts',
       elapsedMilliseconds: 'since the signal',
     },
   },
   session_cut: {
-    when: 'The planned stop ends while a caller is owed an answer or has a transaction open.',
+    when: 'The planned stop ends while a caller has an unanswered statement or an open transaction.',
     fields: {
       request: 'id of the statement; null for none',
-      database: 'what the caller named',
+      database: 'the database that the caller named',
       statement: 'read, write, commit, execute or another kind; null for none',
       transaction: 'none, declared, running or failed',
-      owedMilliseconds: 'since the statement came',
-      takenMilliseconds: 'when the session was taken, from the signal on; below 0: before it',
+      owedMilliseconds: 'since the statement arrived',
+      takenMilliseconds:
+        'when the session was accepted, counted from the signal; negative: before it',
     },
   },
   statement_dropped: {
-    when: 'A statement came behind the end of its session, and was not run; its caller was told that before.',
+    when: 'A statement arrived after the end of its session and was not run; the caller had been notified of the end.',
     fields: {
       request: 'id of the statement',
-      database: 'what the caller named',
+      database: 'the database that the caller named',
       lateMilliseconds: 'since the end of the session',
     },
   },
-  stopped: { when: 'All work has ended, or the grace is nearly over.', fields: {} },
+  stopped: { when: 'All work has ended, or the grace period is nearly over.', fields: {} },
   stood_still: {
-    when: 'The process did nothing for longer than it should; others may have taken it for silent.',
-    fields: { milliseconds: 'since it last looked at what is due; a quarter of a second or more' },
+    when: 'The process was stalled; other hosts may have considered it silent.',
+    fields: { milliseconds: 'since its last tick; a quarter of a second or more' },
   },
   reloaded: {
-    when: 'A signal said that the settings file changed.',
-    fields: { mistakes: 'what is wrong with the file; empty when it is good' },
+    when: 'The process received a signal to read the settings file again.',
+    fields: { mistakes: 'errors in the file; empty when it is valid' },
   },
   lines_left_out: {
-    when: 'An event came more often than its budget of lines a second.',
+    when: 'An event occurred more often than its limit of lines a second.',
     fields: { of: 'the event', lines: 'how many were left out' },
   },
   configuration_taken: {
-    when: 'A newer configuration is in force.',
+    when: 'A newer configuration came into force.',
     fields: { version: 'its version', routes: 'number of its routes' },
   },
   entry_unreadable: {
-    when: 'An item of the store names nothing that can be used.',
+    when: 'An item of the store cannot be read.',
     fields: { key: 'its key', detail: 'what is missing' },
   },
   store_lost: {
-    when: 'A call to the store failed after others had not.',
-    fields: { kind: 'unavailable (nothing done), noAnswer, unexpected', detail: 'the reason' },
+    when: 'A call to the store failed after earlier calls had succeeded.',
+    fields: {
+      kind: 'unavailable (the call had no effect), noAnswer or unexpected',
+      detail: 'the reason',
+    },
   },
   store_back: {
-    when: 'The store answers again, or another host of the zone tells what it holds.',
+    when: 'The store answers again, or another host of the zone forwards its changes.',
     fields: { revision: 'its revision' },
   },
   store_restored: {
-    when: 'The store has come back from an older copy; what was written since is written again.',
-    fields: { era: 'how often it has been restored', revision: 'its revision' },
+    when: 'The store was restored from an older copy; hosts write their later records again.',
+    fields: { era: 'how many times it has been restored', revision: 'its revision' },
   },
   store_history_gone: {
-    when: 'The store no longer has the history that this host needs; everything is listed again.',
+    when: 'The store has compacted the history that this host needs; everything is listed again.',
     fields: { revision: 'the last revision that was known' },
   },
   news_not_told: {
-    when: 'Another host of the zone, through which this one follows the store, did not tell; the store is asked.',
+    when: 'Another host of the zone, through which this one follows the store, sent no changes; the next host or the store is asked.',
     fields: { host: 'the other host', reason: 'noAnswer, declined or behind' },
   },
   registration_failed: {
-    when: 'This host could not tell the others that it runs; it tries again.',
+    when: 'This host could not register in the store; it tries again.',
     fields: { why: 'the failure' },
   },
-  server_appeared: { when: 'A backend server, or a new life of one.', fields: SERVER_FIELDS },
+  server_appeared: {
+    when: 'A backend server, or a new incarnation of one, was listed.',
+    fields: SERVER_FIELDS,
+  },
   server_changed: { when: 'The entry of a backend server changed.', fields: SERVER_FIELDS },
   server_unlisted: {
     when: 'The entry of a backend server is gone; it is kept as a last resort for a while.',
@@ -101,24 +108,24 @@
   },
   server_removed: { when: 'A backend server is no longer used.', fields: SERVER_FIELDS },
   owners_planned: {
-    when: 'Other hosts than before hold the connections to a service, by what this host knows.',
+    when: 'This host planned another set of hosts to hold the connections to a service.',
     fields: {
       service: 'the service',
       hosts: 'hosts that are known to run',
-      owners: 'those that hold connections',
-      isOwned: 'whether this host does',
+      owners: 'the hosts that hold connections',
+      isOwned: 'whether this host is one of them',
     },
   },
   primary_believed: {
-    when: 'This host takes another server for the primary of a service, or none.',
+    when: 'This host considers another server, or none, the primary of a service.',
     fields: {
       service: 'the service',
       primary: 'the server; null for none',
-      source: 'entry, answer, probe or change: where the news came from',
+      source: 'where the information came from: entry, answer, probe or change',
     },
   },
   primary_suspected: {
-    when: 'The primary is silent for some host; this one tells the others what it sees itself.',
+    when: 'The primary is silent for some host; this one publishes whether it reaches the primary.',
     fields: {
       service: 'the service',
       primary: 'the server',
@@ -126,11 +133,11 @@
     },
   },
   vote_failed: {
-    when: 'The word to the others about a silent primary got lost.',
+    when: 'The vote of this host on a silent primary could not be written.',
     fields: { kind: 'as for store_lost', detail: 'the reason' },
   },
   change_claimed: {
-    when: 'This host begins to change the primary of a service.',
+    when: 'This host has claimed the change of the primary of a service.',
     fields: {
       service: 'the service',
       reason: 'silent, leaving or abandoned (by another host)',
@@ -139,19 +146,22 @@
     },
   },
   claim_failed: {
-    when: 'The claim to a change was not made.',
-    fields: { service: 'the service', why: 'conflict: another host was first; else the failure' },
+    when: 'A claim to change the primary was not made.',
+    fields: {
+      service: 'the service',
+      why: 'conflict: another host was first; otherwise the failure',
+    },
   },
   claim_lost: {
     when: 'The claim ended before the change was done.',
     fields: { service: 'the service', token: 'its fencing token' },
   },
   change_waits: {
-    when: 'No server can be promoted safely now; it is tried again.',
+    when: 'No server can be promoted safely yet; the choice is repeated.',
     fields: {
       service: 'the service',
       kind: 'noReplica, unknownReplica (it may hold more) or notCaughtUp',
-      server: 'the server that stands in the way',
+      server: 'the server that prevents it',
     },
   },
   primary_chosen: {
@@ -161,7 +171,7 @@
       token: 'the fencing token',
       server: 'the server',
       position: 'the end of its log',
-      positions: 'where the other replicas stand',
+      positions: 'the ends of the logs of the other replicas',
       how: 'candidateHoldsAll, furthestOfAll or oldPrimarySteppedDown',
     },
   },
@@ -176,33 +186,33 @@
     },
   },
   replica_resumed: {
-    when: 'A replica was still paused after a change and receives again.',
+    when: 'A replica that was still paused after a change was ordered to resume.',
     fields: {
       service: 'the service',
       server: 'the replica',
-      pausedFor: 'the term it was paused for',
-      answered: 'whether it said so',
+      pausedFor: 'the term for which it was paused',
+      answered: 'whether it confirmed',
     },
   },
   change_done: {
-    when: 'The new primary leads.',
+    when: 'The new primary is in place.',
     fields: {
       service: 'the service',
       primary: 'the server',
       token: 'the fencing token',
-      recorded: 'made, conflict, or why the record in the store failed',
+      recorded: 'made, conflict, or why the record could not be written to the store',
     },
   },
   change_given_up: {
-    when: 'The change was not done in all its rounds.',
+    when: 'A change of primary was abandoned after all its rounds.',
     fields: { service: 'the service', token: 'the fencing token' },
   },
   order_unanswered: {
-    when: 'A backend server did not answer an order of a change.',
+    when: 'A backend server did not answer an order during a change of primary.',
     fields: {
       service: 'the service',
       server: 'the server',
-      order: 'report, pause, resume, stepDown',
+      order: 'report, pause, resume or stepDown',
     },
   },
   connection_not_opened: {
@@ -212,79 +222,84 @@
       service: 'its service',
       kind: 'connectionRefused, connectionLost or rejected',
       refusal: 'why it was rejected',
-      detail: 'the server’s words',
+      detail: 'the message of the server',
       waiting: 'statements that wait for a connection there',
-      held: 'connections that this host has there',
+      held: 'connections that this host holds there',
     },
   },
   try_failed: {
-    when: 'One try of a statement on one server failed; it may be tried again.',
+    when: 'One attempt to run a statement on a server failed; it may be retried.',
     fields: {
       request: 'id of the statement',
       route: 'its route',
       server: 'the server',
       kind: 'refused, lost (connection) or overdue',
-      reason: 'refusal, failure or kind: a counter each',
+      reason: 'refusal, failure or kind; each is counted separately',
       refusal: 'why it was refused',
       failure: 'how the connection was lost',
       tookMilliseconds: 'since it was sent',
     },
   },
   read_hedged: {
-    when: 'A read took long at one server and was given to a second one too.',
+    when: 'A read took long at one server and was sent to a second one too.',
     fields: { request: 'id of the statement', first: 'the slow server', second: 'the other one' },
   },
   statement_refused: {
-    when: 'A caller got no ordinary answer.',
+    when: 'A caller received no regular answer to a statement.',
     fields: {
       request: 'id of the statement',
-      database: 'what the caller named',
+      database: 'the database that the caller named',
       route: 'the route',
       statement: 'read, write, commit or execute',
       write: 'whether it writes',
-      primary: 'who was taken for the primary',
-      refusal: 'what the caller was told',
-      reason: 'what became of the last try, or why none was made: a counter each',
-      detail: 'the last failure, and when to come back',
-      tookMilliseconds: 'since the statement came',
+      primary: 'the server considered the primary',
+      refusal: 'the refusal sent to the caller',
+      reason: 'the result of the last attempt, or why none was made; each is counted separately',
+      detail: 'the last failure, and when to try again',
+      tookMilliseconds: 'since the statement arrived',
     },
   },
   statement_late: {
-    when: 'A caller was answered later than its route aims at.',
+    when: 'A statement was answered later than the latency target of its route.',
     fields: {
       request: 'id of the statement',
-      database: 'what the caller named',
+      database: 'the database that the caller named',
       route: 'the route',
       statement: 'read, write, commit or execute',
-      primary: 'who is taken for the primary',
-      newsMilliseconds: 'of it, waiting for a primary or for a bound on freshness',
-      connectionMilliseconds: 'of it, waiting for connections',
-      tries: 'tries at servers; 0 where another host ran it',
-      tookMilliseconds: 'since the statement came',
+      primary: 'the server considered the primary',
+      newsMilliseconds:
+        'part of tookMilliseconds spent waiting for a primary or for a bound on freshness',
+      connectionMilliseconds: 'part of tookMilliseconds spent waiting for connections',
+      tries: 'attempts at servers; 0 where another host ran it',
+      tookMilliseconds: 'since the statement arrived',
     },
   },
   session_refused: {
-    when: 'A session was turned away or ended for a mistake of its caller.',
-    fields: { database: 'what it named', refusal: 'what it was told', detail: 'why' },
+    when: 'A session was refused, or ended because of an error of its caller.',
+    fields: {
+      database: 'the database that the caller named',
+      refusal: 'the refusal sent to the caller',
+      detail: 'the reason',
+    },
   },
   limit_reached: {
     when: 'An operation was refused because its customer has used up its limit.',
-    fields: { customer: 'the customer', waitMilliseconds: 'until the next one may run' },
+    fields: { customer: 'the customer', waitMilliseconds: 'until the next operation may run' },
   },
   limit_unknown: {
-    when: 'An operation was refused because no host that holds a part of its customer’s limit could be asked.',
+    when: 'An operation was refused because no host that holds a part of its customer’s limit was reachable.',
     fields: { customer: 'the customer' },
   },
   idle_transaction_ended: {
-    when: 'A transaction rested too long and was rolled back.',
+    when: 'A transaction was idle for too long and was rolled back.',
     fields: { database: 'the database', limit: 'the configured time, in milliseconds' },
   },
   relay_lost: {
-    when: 'Another host that runs statements for this one can not be reached.',
+    when: 'Another host that runs statements for this one cannot be reached.',
     fields: { host: 'the host', why: 'connectRefused, connectTimeout or silent' },
   },
   relay_failed: {
-    when: 'A statement that was handed to another host got no answer there.',
+    when: 'A statement forwarded to another host got no answer.',
     fields: {
       request: 'id of the statement',
       service: 'the service',
@@ -293,11 +308,11 @@
     },
   },
   not_listening: {
-    when: 'A port of the settings can not be listened at. Without callers or readiness the process ends with code 3.',
+    when: 'A configured port cannot be listened on. For callers or readiness the process exits with code 3.',
     fields: { what: 'callers, readiness or metrics', detail: 'the reason' },
   },
   relay_not_listening: {
-    when: 'This host can not run statements for others.',
+    when: 'This host cannot listen on its relay port, so it runs no statements for others.',
     fields: { detail: 'the reason' },
   },
 } as const satisfies Record<string, EventDescription>
@@ -309,12 +324,12 @@
   const lines = [
     '# Logs of an entry host',
     '',
-    'Made from packages/host/src/decisionEvents.ts by `node scripts/generateDocs.js`; do not edit.',
+    'Generated from packages/host/src/decisionEvents.ts by `node scripts/generateDocs.js`; do not edit.',
     '',
     'One JSON object a line on standard output. Each has `message` (the event), `entryHost`, `zone` and',
     '`timestamp` (the host’s time of day), and the fields below. An event writes at most 15 lines a second,',
     '`statement_refused` 100;',
-    '`lines_left_out` says how many more there were. What a slow reader has not taken is dropped beyond',
+    '`lines_left_out` reports how many more there were. Output that a slow reader has not consumed is dropped beyond',
     '256 KiB, and `lines_dropped` counts it.',
     '',
     '| event | when | fields |',
--- a/packages/host/src/decisionLog.ts
+++ b/packages/host/src/decisionLog.ts
@@ -1,13 +1,13 @@
 /**
- * One structured line for each decision, within a budget: a flood of one event costs at most so many
- * lines a second, and a line says how many were left out.
+ * Writes one structured line for each decision, within a budget: an event writes a limited number of lines a second,
+ * and a further line reports how many were left out.
  */
-/** Lines of one event a second. At 15 microseconds a line, all events together stay below 1% of a core. */
+/** Limit of lines of one event. At 15 microseconds a line, all events together stay below 1% of a core. */
 const LINES_PER_SECOND = 15
 
 /**
- * A refused statement is what callers complain of, so that its line is there whenever the host still
- * serves: this is more than a host refuses in a second while it answers anything at all.
+ * Limit for refused statements, which operators need in order to answer callers' complaints: it exceeds the refusals
+ * of a host that still answers any statements.
  */
 const REFUSALS_PER_SECOND = 100
 
@@ -16,7 +16,7 @@
 import type { EventName } from './decisionEvents.js'
 import type { HostMetrics } from './hostMetrics.js'
 
-/** Where lines go. */
+/** Receives the lines. */
 export interface LineSink {
   info(event: EventName, fields: LogFields): void
 }
--- a/packages/host/src/entryHost.ts
+++ b/packages/host/src/entryHost.ts
@@ -1,4 +1,4 @@
-/** One entry host: takes callers, follows the store, and keeps the services it needs in order. */
+/** One entry host: accepts callers, follows the store, and manages the services that it works with. */
 import { createServer, type Server, type Socket } from 'node:net'
 import type {
   Clock,
@@ -35,7 +35,7 @@
 import { StoreFollower } from './storeFollower.js'
 import { ChangeFeedReader } from './zoneNews.js'
 
-/** What an entry host reaches the world through. */
+/** The outside systems that an entry host uses. */
 export interface EntryHostPorts {
   readonly dialer: BackendDialer
   readonly store: StoreLink
@@ -43,13 +43,13 @@
   callerLink(socket: Socket): CallerLink
 }
 
-/** Everything that is due by time is looked at this often while some server or host owes an answer. */
+/** Interval of the timer that checks deadlines while an answer of a server or host is outstanding. */
 const TICK_MILLISECONDS = 25
 
 /**
- * While none does. At rest a tick is most of what a host spends: 100 instead of 25 halves its
- * processor time (18 to 9 ms a second, one run). The shortest limit that only a tick notices, the silence
- * of a server, begins with an answer owed, and then the tick is short within this span.
+ * Interval while none is outstanding. Ticks are most of the processor time of an idle host: 100 instead of 25
+ * halves it (18 to 9 ms a second, one run). The shortest limit that only a tick detects, the silence of a server,
+ * starts with an outstanding answer, and the short interval applies at the latest after this time.
  */
 const IDLE_TICK_MILLISECONDS = 100
 
@@ -113,7 +113,7 @@
     })
   }
 
-  /** Whether new callers are welcome: it can tell where their work goes. */
+  /** Whether new callers should be sent here: the host is not stopping and can route their statements. */
   get isReady(): boolean {
     return this.#stopping === null && this.#services.isServable
   }
@@ -167,7 +167,7 @@
     return identity.kind === 'customer' && this.#mayHaveMissedRevocation ? UNCONFIRMED : identity
   }
 
-  /** Only where the settings ask for it: a key that may have been taken away unheard is not served. */
+  /** With strict revocation, keys are not served once this host may have missed their revocation. */
   get #mayHaveMissedRevocation(): boolean {
     const { clock, settings } = this.#context
     const { isStrict, withinMilliseconds } = settings.revocation
@@ -185,7 +185,7 @@
     return service
   }
 
-  /** Follows the store and its backend servers; callers come with `listen` or `admit`. */
+  /** Starts following the store and backend servers; callers are accepted by `listen` or `admit`. */
   start(): void {
     const { relay } = this.#context.settings
     if (relay !== null) this.#relay.listen(relay.host, relay.port)
@@ -194,7 +194,7 @@
     void this.#registration.run()
   }
 
-  /** Takes callers; `failed` hears why this host can not. */
+  /** Accepts callers; calls `onError` if the port cannot be listened on. */
   listen(onError: (error: Error) => void): void {
     const { host, port } = this.#context.settings.callers
     this.#server = createServer({ allowHalfOpen: true }, socket => {
@@ -204,7 +204,7 @@
     this.#server.listen({ host, port, backlog: BACKLOG })
   }
 
-  /** Takes one caller. */
+  /** Starts a session for one caller. */
   admit(link: CallerLink): void {
     const session = new CallerSession(this.#context, link, this, this.#runner, ended => {
       this.#sessions.delete(ended)
@@ -213,8 +213,8 @@
   }
 
   /**
-   * Takes no new work, lets what runs end, and resolves when the process may exit. A second call, as a
-   * second signal makes it, waits for the same end: it must not cut what the first still waits for.
+   * Accepts no new work, lets running work end, and resolves when the process may exit. A second call, made by a
+   * second signal, waits for the same stop and must not cut the work that the first one waits for.
    */
   stop(): Promise<void> {
     this.#stopResult ??= this.#runStop()
@@ -231,7 +231,7 @@
     this.close()
   }
 
-  /** Drops everything at once, as the end of the process would. */
+  /** Closes everything at once, as the end of the process would. */
   close(): void {
     this.#isClosed = true
     if (this.#timer !== null) clearTimeout(this.#timer)
@@ -250,7 +250,7 @@
     }, span)
   }
 
-  /** Whether something that a tick watches is under way: a statement, a question, a change. */
+  /** Whether work that ticks supervise is under way: a statement, a probe or a change of primary. */
   get #hasPendingWork(): boolean {
     return this.#fleet.hasPendingWork || this.#services.hasPendingWork
   }
--- a/packages/host/src/failoverController.ts
+++ b/packages/host/src/failoverController.ts
@@ -1,11 +1,11 @@
 /**
- * Sees to it that one service has a primary that works: watches for silence, tells the other hosts of
- * it, claims the change when it is this host's turn, and carries it out.
+ * Controls failover of one service: detects a silent or leaving primary, publishes a vote about it to the
+ * other hosts, claims the change of primary when it is this host's turn, and carries it out.
  *
- * The claim is a record in the store under a lease; the store's revision of it is the fencing token,
- * so a holder that was frozen finds its orders refused once another has claimed. A claim that
- * vanishes without the change being done is taken up by another host: replicas may be paused, and
- * an order to promote may still be under way, which only a newer token stops.
+ * The claim is a record in the store under a lease; the store's revision of it is the fencing token, so that
+ * the orders of a holder whose process was paused are refused once another host has claimed. A claim that
+ * disappears before the change is done is taken over by another host: replicas may be paused, and an order to
+ * promote may still be under way, which only a newer token stops.
  *
  * @internal
  */
@@ -38,18 +38,18 @@
 import type { ServiceDesk } from './serviceDesk.js'
 import { rest } from './waiting.js'
 
-/** Rounds of one claim: each asks all servers anew. */
+/** Rounds of one claim; each queries all servers again. */
 const MAX_ROUNDS = 40
 const ROUND_PAUSE_MILLISECONDS = 100
 
-/** Tries of one order to promote: the order is idempotent under its token. */
+/** Attempts at one order to promote, which is idempotent under its token. */
 const MAX_PROMOTION_ATTEMPTS = 8
 
-/** A promotion shows within the time that the platform takes for one, and a reserve. */
+/** The time that the platform takes for a promotion, and a reserve. */
 const PROMOTION_EFFECT_LIMIT_MILLISECONDS = 3000
 const PROMOTION_POLL_INTERVAL_MILLISECONDS = 20
 
-/** After a change or a claim by another, before this host thinks of one again. */
+/** Time after a change of primary, or an attempt at one, during which this host starts no other. */
 const SETTLE_MILLISECONDS = 800
 
 interface StoredChangeRecord {
@@ -68,7 +68,7 @@
   readonly #commands: GroupOrderSender
   readonly #claims: PrimaryClaims
   #changeRecord: StoredChangeRecord | null = null
-  /** Another host's claim ended without a word that it was done. */
+  /** When another host's claim ended without a record that the change was done. */
   #abandonedAt: Milliseconds | null = null
   #suspendedUntil = milliseconds(0)
   #isChanging = false
@@ -112,8 +112,8 @@
   }
 
   /**
-   * The store may have lost a claim that its holder still acts on. Nobody claims anew before that holder's lease
-   * would have ended.
+   * The restored store may lack a claim that its holder still acts on, so this host makes no claim before that
+   * holder's lease would have ended.
    */
   storeRestored(now: Milliseconds): void {
     this.#suspendFor(now, this.#claims.lifetimeMilliseconds)
@@ -172,8 +172,8 @@
   }
 
   /**
-   * This host's place among those that watch the service, other for each service so that the work
-   * is spread.
+   * This host's rank among the observers of the service. It differs by service, so that failovers are spread
+   * over the hosts.
    */
   #rank(): number {
     const service = nameHash(this.#service.name)
@@ -189,7 +189,7 @@
     return record?.phase === 'claimed' && record.holder !== this.#context.settings.entryHost
   }
 
-  /** Says it again in time, and at once when this host's own view has changed. */
+  /** Repeats the vote before it expires, and at once when this host's view has changed. */
   #castVote(vote: SuspicionRecord, now: Milliseconds): void {
     const last = this.#lastVote
     const isSame = last?.vote.primary === vote.primary && last.vote.reaches === vote.reaches
@@ -210,7 +210,7 @@
     const puts = value === null ? [] : [{ key, value, lease: 0 }]
     const removes = value === null ? [key] : []
     const made = await this.#store.change({ expected: [], puts, removes }, CALL_LIMIT_MILLISECONDS)
-    // A vote that got lost is cast again when it would lapse.
+    // A lost vote is cast again at the next repetition.
     if (made.isErr()) this.#context.log.write('vote_failed', { ...made.error })
   }
 
@@ -285,7 +285,7 @@
           if (!(await this.#claims.renew(claim))) return 'lost'
           continue
         case 'noAnswer':
-          // It may be carried out any time; asking again settles it.
+          // The platform may still carry it out; repeating the order reveals the result.
           continue
       }
     }
@@ -309,8 +309,8 @@
   }
 
   /**
-   * A promotion lets paused replicas receive again. One whose pause came late, or was for a later
-   * term, would stay behind for good and push all its reads to the others.
+   * A promotion resumes paused replicas, but not one whose pause arrived late or was for a later term: it would
+   * lag forever, and the other replicas would serve all its reads.
    */
   async #resumePaused(primary: BackendServerId): Promise<void> {
     const others = this.#replicas(primary)
--- a/packages/host/src/groupOrderSender.ts
+++ b/packages/host/src/groupOrderSender.ts
@@ -1,7 +1,7 @@
 /**
- * Orders to the servers of one group during a change of its primary. They go over a connection that
- * this host holds, as soon as one is free, else over one of their own: those for requests may all be held by
- * transactions, and a server that is full takes no further ones.
+ * Sends orders to the servers of one group during a change of its primary. An order uses a connection of this
+ * host's pool if one becomes free soon, and otherwise a new one: transactions may hold all pooled connections,
+ * while a server at its connection limit accepts no new one.
  *
  * @internal
  */
@@ -15,28 +15,28 @@
 import type { ServiceDesk } from './serviceDesk.js'
 import { OVERDUE, rest, within } from './waiting.js'
 
-/** One try of one order. A server takes a connection in tens of milliseconds, past the link too. */
+/** Limit of one attempt. A server accepts a connection in tens of milliseconds, also over the link. */
 const ORDER_LIMIT_MILLISECONDS = 500
 
-/** An order whose answer was lost is given again, on a new connection. */
+/** An order whose answer was lost is repeated on another connection, up to this many attempts. */
 const MAX_UNANSWERED = 3
 
 /**
- * A server that says that it is full or busy lives, and has room again within a few statements: it is
- * asked again for this long. Three tries took 75 ms, and under load all of them were turned away.
+ * A server that reports that it is full or busy is alive, and has capacity again within a few statements, so the
+ * order is retried for this long. Three attempts took 75 ms, and under load all of them were rejected.
  */
 const NO_CAPACITY_RETRY_MILLISECONDS = 1000
 
-/** Between two tries, and two questions to a candidate that catches up. */
+/** Pause between two attempts, and between two reports of a candidate that is catching up. */
 const RETRY_PAUSE_MILLISECONDS = 25
 
-/** A connection in use comes free within a few statements, unless transactions hold them all. */
+/** A busy connection becomes free within a few statements, unless transactions hold all of them. */
 const FREE_CONNECTION_MILLISECONDS = 150
 
-/** How one try ended without a report. */
+/** How an attempt ended without a report. */
 type OrderFailure =
-  /** The server answers, and had no room for the order. */
-  'turnedAway' | 'noAnswer'
+  /** The server answered that it has no capacity for the order. */
+  'noCapacity' | 'noAnswer'
 
 export class GroupOrderSender implements GroupOrders {
   readonly #context: HostContext
@@ -73,7 +73,7 @@
     let unanswered = 0
     for (;;) {
       const report = await this.#orderOnce(id, command)
-      if (report !== 'turnedAway' && report !== 'noAnswer') return report
+      if (report !== 'noCapacity' && report !== 'noAnswer') return report
       if (report === 'noAnswer') unanswered += 1
       if (unanswered >= MAX_UNANSWERED || clock.now() >= noCapacityDeadline) break
       await this.rest()
@@ -100,7 +100,7 @@
     const isOpen = await within(opened, deadline, clock)
     if (isOpen === OVERDUE || isOpen.isErr()) {
       link.close()
-      return isOpen !== OVERDUE && isOpen.error.kind === 'rejected' ? 'turnedAway' : 'noAnswer'
+      return isOpen !== OVERDUE && isOpen.error.kind === 'rejected' ? 'noCapacity' : 'noAnswer'
     }
     const reply = await within(link.run(command), deadline, clock)
     if (reply === OVERDUE || reply.isErr()) {
@@ -109,16 +109,16 @@
     }
     if (pooled === null) link.close()
     else server.pool.release(pooled)
-    return dialer.readReport(reply.value) ?? 'turnedAway'
+    return dialer.readReport(reply.value) ?? 'noCapacity'
   }
 
-  /** A connection that this host holds already, if one is free soon. */
+  /** A connection of the pool, if one is free or becomes free soon. */
   async #pooledLink(server: BackendServerState): Promise<PooledLink | null> {
     const idle = server.pool.takeIdleNow()
     if (idle !== null || server.pool.busy === 0) return idle
     const { clock } = this.#context
     const now = clock.now()
-    // A server that is silent gives none back; then a new connection tells more.
+    // A silent server frees no connection; a new one shows whether it still answers.
     if (server.silentFor(now) > 0) return null
     const limit = addMilliseconds(now, FREE_CONNECTION_MILLISECONDS)
     const acquired = await server.pool.acquireFirst(limit)
--- a/packages/host/src/hostFleet.ts
+++ b/packages/host/src/hostFleet.ts
@@ -1,5 +1,5 @@
 /**
- * The entry hosts that run: who of them holds connections to which service, and the ways to them.
+ * Tracks the running entry hosts: which of them hold connections to which service, and the connections to them.
  *
  * @internal
  */
@@ -31,17 +31,17 @@
 import type { ServiceDesk } from './serviceDesk.js'
 import type { ChangeFeedSources } from './zoneNews.js'
 
-/** Hosts register again within a second of hearing that the store was restored; news of it takes some more. */
+/** Hosts register again within a second of learning that the store was restored, which itself takes longer. */
 const RE_REGISTRATION_MILLISECONDS = 8000
 
-/** Hosts that are asked to reach a primary which this one does not, and the pause when none could. */
+/** Hosts that are tried when this one does not reach a primary, and the pause before they are tried again. */
 const MAX_INDIRECT_PEERS = 6
 const INDIRECT_PAUSE_MILLISECONDS = 150
 
 /**
- * How many hosts at least are asked for their view of a primary that an owner finds silent. A cut
- * that leaves a third of nine hosts outside leaves three that can agree; with three owners alone it
- * left one, which waited for seconds lest it be the one that is cut off.
+ * The least number of hosts that vote on a primary that an owner finds silent. A network partition that separates
+ * a third of nine hosts leaves three that can agree; with only the three owners voting, it left one, which waited
+ * for seconds because it might have been cut off itself.
  */
 const MIN_OBSERVERS = 9
 
@@ -49,25 +49,25 @@
   readonly #context: HostContext
   readonly #hosts = new Map<string, HostRecord>()
   readonly #peers = new Map<string, RelayPeer>()
-  /** By service: who says whether its primary lives. The owners, and others where they are few. */
+  /** By service: the hosts that vote on its primary: the owners, and others where they are few. */
   readonly #observers = new Map<string, readonly string[]>()
-  /** By service: whom this host asks to run statements, in order. */
+  /** By service: the hosts to which this one forwards statements, in order of preference. */
   readonly #hostOrder = new Map<string, readonly string[]>()
-  /** By service: who owns it, and by service and customer: in which order the owners are asked. */
+  /** By service: its owners. By service and customer: the order in which the owners are tried. */
   readonly #ownerPlans = new Map<string, OwnerPlan>()
   readonly #customerOrder = new Map<string, readonly string[]>()
-  /** By customer: who holds the parts of its limit, in the order in which this host asks them. */
+  /** By customer: the hosts that hold parts of its limit, in the order in which this host asks them. */
   readonly #limitHolders = new Map<CustomerName, readonly string[]>()
-  /** By service: what the last line said. */
+  /** By service: the plan that was last logged. */
   readonly #loggedOwners = new Map<string, string>()
-  /** Hosts whose records a restored store has lost. */
+  /** Hosts whose records are missing from a restored store. */
   readonly #missingHosts = new Set<string>()
   #reRegistrationDeadline = milliseconds(0)
-  /** Services whose primary nobody reached when others were last asked. */
+  /** Services whose primary was recently looked for through other hosts. */
   readonly #indirectPauses: Pauses<string>
-  /** Through whom this host follows the store, in order. */
+  /** The hosts through which this one follows the store, in order of preference. */
   #changeFeedHosts: readonly string[] = []
-  /** Whether the plans are of the hosts and services that are known. */
+  /** Whether the plans reflect the known hosts and services. */
   #isPlanned = false
 
   constructor(context: HostContext) {
@@ -80,9 +80,9 @@
   }
 
   /**
-   * A host registered, or its record is gone. Its connection stays unless it moved: one that stops or
-   * whose lease lapsed still runs what it was handed, and one that is gone shows by its silence. Closing it
-   * made the outcome of every write that ran there unknown.
+   * Applies a host's registration, or its removal with null. The connection to the host stays open unless its address
+   * changed: a host that stops or whose lease expired still runs the statements sent to it, and a dead one is
+   * detected by its silence. Closing the connection made the outcome of every write that ran there unknown.
    */
   receiveHostRecord(host: string, record: HostRecord | null): void {
     this.#isPlanned = false
@@ -93,19 +93,19 @@
     if (address !== null && this.#peers.get(host)?.isAt(address) === false) this.#dropPeer(host)
   }
 
-  /** A whole list was read: hosts that it does not name are gone. */
+  /** Applies a complete list: hosts that it does not name are gone. */
   keepOnly(isListed: (host: string) => boolean): void {
     for (const host of this.#hosts.keys()) if (!isListed(host)) this.receiveHostRecord(host, null)
   }
 
-  /** The same for the list of a restored store: hosts write their records again, and are gone only if they do not. */
+  /** Applies the list of a restored store: hosts that it does not name have some time to register again. */
   awaitReRegistration(isListed: (host: string) => boolean, now: Milliseconds): void {
     this.#reRegistrationDeadline = addMilliseconds(now, RE_REGISTRATION_MILLISECONDS)
     this.#missingHosts.clear()
     for (const host of this.#hosts.keys()) if (!isListed(host)) this.#missingHosts.add(host)
   }
 
-  /** Drops hosts that did not return; true when there were any. */
+  /** Removes hosts that did not register again; true if there were any. */
   #dropMissingHosts(now: Milliseconds): boolean {
     if (this.#missingHosts.size === 0 || now < this.#reRegistrationDeadline) return false
     for (const host of this.#missingHosts) this.receiveHostRecord(host, null)
@@ -113,14 +113,14 @@
     return true
   }
 
-  /** What services there are has changed. */
+  /** The set of services or their configuration has changed. */
   servicesChanged(): void {
     this.#isPlanned = false
   }
 
   /**
-   * Works out who holds connections to what, from the hosts that are known to run, if they or the services have
-   * changed. Once for all that was heard at a time: one plan takes draws in proportion to hosts times services.
+   * Plans which hosts hold connections to which service, if the known hosts or the services have changed. Runs once
+   * for all changes of a response, because one plan takes draws in proportion to hosts times services.
    */
   plan(services: Iterable<ServiceDesk>): void {
     if (this.#isPlanned) return
@@ -133,7 +133,7 @@
       const { connectionLimit } = service.configuration
       const holders = connectionHolders(connectionLimit, this.#hosts.size, requiresKeys)
       const drawn = planOwners(service.name, this.#hosts, Math.max(holders, MIN_OBSERVERS))
-      // The first of one draw are what a draw of fewer gives.
+      // A draw of fewer hosts gives the first ones of a larger draw.
       const plan = { ...drawn, owners: drawn.owners.slice(0, holders) }
       const { owners: observers } = drawn
       this.#ownerPlans.set(service.name, plan)
@@ -142,7 +142,7 @@
         service.name,
         ownersFrom(plan, entryHost, { zone, region, relay: null, weight: 1 }),
       )
-      // Before this host is listed itself it serves by itself: it knows too little to rely on others.
+      // A host that is not listed yet connects to the servers itself: it knows too little of the other hosts.
       service.isOwned = !this.#hosts.has(entryHost) || plan.owners.includes(entryHost)
       service.holders = service.isOwned ? holders : Math.max(holders, this.#substituteCount)
       service.holdersByRegion = countByRegion(plan)
@@ -152,9 +152,9 @@
   }
 
   /**
-   * Hosts that may serve in an owner's place at once: one in each availability zone. Each as if it were the
-   * only holder, three took 5 of 12 connections each, so that other zones got none, and neither did the
-   * owner when it was back, until those had rested for seconds.
+   * Number of hosts that may replace an owner at the same time: one in each availability zone. When each acted as the
+   * only holder, three hosts opened 5 of 12 connections each, and other zones and the returning owner got none until
+   * those had been idle for seconds.
    */
   get #substituteCount(): number {
     return new Set([...this.#hosts.values()].map(({ zone }) => zone)).size
@@ -188,7 +188,7 @@
     return null
   }
 
-  /** Whom to ask, in order; this host stands in its own place if it is an owner of the customer's connections. */
+  /** The hosts to try, in order; includes this host if it owns connections of the customer. */
   #hostOrderFor({ name }: ServiceDesk, customer: CustomerName | null): readonly string[] {
     const order = this.#hostOrder.get(name) ?? []
     const plan = this.#ownerPlans.get(name)
@@ -203,7 +203,7 @@
     return made
   }
 
-  /** Owners that come before this host, which is one of them; null when none does. */
+  /** Owners that precede this host, which is one of them; null when there are none. */
   #ownersBefore(order: readonly string[]): RelayPeer[] | null {
     const own = order.indexOf(this.#context.settings.entryHost)
     const peers = this.#upPeers(order.slice(0, Math.max(0, own)))
@@ -229,8 +229,8 @@
   }
 
   /**
-   * This host does not reach the primary; others may. A few of them are asked, and when none does,
-   * nobody is asked again for a moment: then the primary is gone, and each statement would pay for it.
+   * Other hosts to try when this one does not reach the primary. If none of them reaches it either, no host is tried
+   * for a short pause: the primary is probably gone, and each statement would be delayed by the attempts.
    */
   #indirectPeers(
     service: ServiceDesk,
@@ -244,12 +244,12 @@
     return peers.slice(0, MAX_INDIRECT_PEERS)
   }
 
-  /** Whether statements run at other hosts. */
+  /** Whether other hosts still run statements for this one. */
   get hasPendingWork(): boolean {
     return [...this.#peers.values()].some(peer => peer.isOwedAnswers)
   }
 
-  /** True when the fleet has changed by time alone, and has to be planned anew. */
+  /** True when hosts were removed because of elapsed time, so that a new plan is needed. */
   tick(now: Milliseconds): boolean {
     for (const [host, peer] of this.#peers) {
       const isGone = !this.#hosts.has(host) && peer.isLost && !peer.isOwedAnswers
@@ -268,7 +268,7 @@
     this.#peers.delete(host)
   }
 
-  /** The way to another host; null for one that is not known or runs nothing for others. */
+  /** The connection to another host; null for one that is unknown or runs no statements for others. */
   peer(host: string): RelayPeer | null {
     const known = this.#peers.get(host)
     if (known !== undefined) return known
@@ -292,7 +292,7 @@
   return counts
 }
 
-/** Where a host runs statements for others; null when it does not. */
+/** The address at which a host runs statements for others; null when it does not. */
 function relayAddress({ relay }: HostRecord): HostAddress | null {
   const [host = '', port = ''] = relay?.split(':') ?? []
   return host === '' || port === '' ? null : { host, port: Number(port) }
--- a/packages/host/src/hostMetrics.ts
+++ b/packages/host/src/hostMetrics.ts
@@ -4,7 +4,7 @@
 import type { HostAddress, StatementBody } from '@nutmegcourse/protocol'
 import type { EventName } from './decisionEvents.js'
 
-/** What became of a statement: what its caller was told, in one word. */
+/** The result of a statement as reported to its caller, in one word. */
 export type StatementOutcome = string
 
 const PERCENTILES = [50, 90, 99, 99.9]
@@ -16,18 +16,18 @@
   readonly #latencies = new Map<string, RecordableHistogram>()
   readonly #gauges = new Map<string, () => number>()
 
-  /** A value that is read when somebody asks. */
+  /** Registers a value that is read at each scrape. */
   gauge(name: string, read: () => number): void {
     this.#gauges.set(name, read)
   }
 
-  /** Each event counts, also when its line was left out, and apart by its reason if it gives one. */
+  /** Counts an event, also when its line was left out of the log; events with a reason are counted by reason. */
   event(event: EventName, reason?: string): void {
     const labels = reason === undefined ? `event="${event}"` : `event="${event}",reason="${reason}"`
     this.#events.set(labels, (this.#events.get(labels) ?? 0) + 1)
   }
 
-  /** A statement was answered: labels are the kind and the outcome, whose numbers are bounded. */
+  /** Records an answered statement. The labels are its kind and outcome, both of which have few values. */
   statement(
     kind: StatementBody['kind'],
     outcome: StatementOutcome,
--- a/packages/host/src/hostRegistration.ts
+++ b/packages/host/src/hostRegistration.ts
@@ -1,6 +1,6 @@
 /**
- * Tells the other entry hosts, through the store, that this one runs. They divide the connections
- * of each backend server by the number of hosts.
+ * Registers this entry host in the store. The hosts divide the connections of each backend server by the number of
+ * registered hosts.
  *
  * @internal
  */
@@ -10,31 +10,31 @@
 import { Signal } from './waiting.js'
 
 /**
- * The record is for shares that need no precision, so it is renewed rarely: a call each few minutes
- * and host, where a heartbeat of a second would be most of the calls that the fleet makes. A host that lost
- * power is counted until the lease ends, which costs the others a part of their shares.
+ * The record serves to divide connections, which needs no precision, so it is renewed rarely: one call per host
+ * every few minutes, where a heartbeat of a second would be most of the fleet's calls. A host that lost power is
+ * counted until its lease ends, which reduces the shares of the others.
  */
 const LIFETIME_MILLISECONDS = 300_000
 const RENEW_AFTER_MILLISECONDS = 100_000
 
-/** Hosts that register again at one moment are spread over this. */
+/** Simultaneous registrations after a restore of the store are spread over this time. */
 const RESTORED_SPREAD_MILLISECONDS = 1000
 
 const CALL_LIMIT_MILLISECONDS = 1500
 const RETRY_MILLISECONDS = 2000
 
-/** A record as it stands in the store. */
+/** A record as read from the store. */
 export interface StoredRecord {
   readonly value: string
   readonly lease: number
 }
 
-/** What this host has read of the store. */
+/** Gives access to this host's own record in the store. */
 export interface OwnRecordReader {
-  /** Resolves when everything was listed, at the latest after `span` milliseconds. */
+  /** Resolves after the first complete list, at the latest after `span` milliseconds. */
   whenListed(span: number): Promise<void>
   readonly isListed: boolean
-  /** This host's own record, as it was when everything was listed. */
+  /** This host's own record as of the last complete list. */
   readonly ownRecord: StoredRecord | null
 }
 
@@ -42,7 +42,7 @@
   readonly #context: HostContext
   readonly #store: StoreLink
   readonly #reader: OwnRecordReader
-  /** Hears that the other hosts will know this one anew. */
+  /** Called after the first registration, when other hosts learn of this one. */
   readonly #onJoined: () => void
   #lease: number | null = null
   #hasJoined = false
@@ -73,20 +73,20 @@
     }
   }
 
-  /** The store has come back from an older copy, which may lack the record. */
+  /** The store was restored from an older copy, which may lack the record. */
   storeRestored(): void {
     this.#isRecordLost = true
     this.#wakeUp.raise()
   }
 
-  /** All hosts write their records again at about one moment, so each waits a little. */
+  /** All hosts register again at about the same time, so each waits for a random delay. */
   async #prepareReRegistration(): Promise<void> {
     this.#isRecordLost = false
     this.#lease = null
     await this.#wakeUp.wait(RESTORED_SPREAD_MILLISECONDS * this.#context.random.next())
   }
 
-  /** The host stops: the others may have its share. */
+  /** Ends the registration: the host stops, and the others may use its share. */
   async withdraw(): Promise<void> {
     this.#isStopped = true
     this.#wakeUp.raise()
@@ -95,8 +95,8 @@
   }
 
   /**
-   * After a loss of power the host's record still stands under its old lease. If all hosts wrote theirs anew at once,
-   * every change would end every watch and make every host plan again while callers come back.
+   * Adopts an unchanged record and its lease, as it is still stored after a power loss. If all hosts wrote their
+   * records again at once, every write would end every watch and make every host plan again while callers reconnect.
    */
   async #adoptStoredRecord(): Promise<void> {
     while (!this.#isStopped && !this.#reader.isListed) {
--- a/packages/host/src/main.ts
+++ b/packages/host/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The entry host's process. */
+/** Entry point of the process of an entry host. */
 import { parseArgs } from 'node:util'
 import { createLog, openStandardOutput } from '@nutmegcourse/observability'
 import {
@@ -18,12 +18,13 @@
 import { EntryHost } from './entryHost.js'
 
 const EXIT_BAD_SETTINGS = 2
-/** A port of the settings can not be listened at. Whoever started the process may try again. */
+/** A configured port cannot be listened on, perhaps only for now: a supervisor may start the process again. */
 const EXIT_NOT_LISTENING = 3
 
-/** Where the settings name no place for promotions, none is ordered. */
+/** Stands in where the settings contain no address for promotions: none is ordered. */
 const PROMOTION_UNAVAILABLE: PromotionPort = {
-  promote: () => Promise.resolve({ kind: 'unavailable', detail: 'no address in the settings' }),
+  promote: () =>
+    Promise.resolve({ kind: 'unavailable', detail: 'no promotion address in the settings' }),
 }
 
 function run(settings: HostSettings, path: string): void {
@@ -69,7 +70,8 @@
   )
   log.write('started', { settings: path })
   process.on('SIGHUP', () => {
-    // What could change while it runs comes from the store; the rest takes effect at the next start.
+    // The file is only validated: its settings take effect at the next start, and dynamic configuration comes from
+    // the store.
     const read = readSettingsFile(path)
     log.write('reloaded', { mistakes: read.isErr() ? read.error : [] })
   })
@@ -82,7 +84,7 @@
   })
 }
 
-/** `--metrics-port` goes before the settings, which name a port that differs from day to day. */
+/** `--metrics-port` takes precedence over the settings, whose port differs from day to day. */
 function metricsListenAddress(settings: HostSettings): HostAddress | null {
   const { values } = parseArgs({ options: { 'metrics-port': { type: 'string' } } })
   const port = Number(values['metrics-port'])
@@ -92,7 +94,7 @@
 
 const path = settingsPath(process.env)
 if (path === null) {
-  console.error('no settings file is named')
+  console.error('no settings file given')
   process.exit(EXIT_BAD_SETTINGS)
 }
 const settings = readSettingsFile(path)
--- a/packages/host/src/plannedStop.ts
+++ b/packages/host/src/plannedStop.ts
@@ -1,6 +1,6 @@
 /**
- * The planned stop of an entry host: in which order it lets go of its callers, and of what it runs
- * for other hosts, so that the end of the process takes nothing from anybody.
+ * The planned stop of an entry host: the order in which it closes callers' sessions and ends the work that it runs
+ * for other hosts, so that the end of the process interrupts no statement or transaction.
  *
  * @internal
  */
@@ -9,46 +9,46 @@
 import type { HostContext } from './hostContext.js'
 import { rest } from './waiting.js'
 
-/** For how long this host takes new sessions. */
+/** Which new sessions this host accepts. */
 export type SessionIntake =
   | 'lasting'
-  /** For one statement or transaction. */
+  /** Sessions for one statement or transaction. */
   | 'brief'
   | 'none'
 
-/** What the stop lets go of. */
+/** The sessions and the work that the stop ends. */
 export interface StoppingHost {
   readonly sessions: ReadonlySet<CallerSession>
-  /** Statements that run, and transactions that are open, for other hosts. */
+  /** Whether statements run or transactions are open for other hosts. */
   readonly isRelaying: boolean
-  /** This host changes the primary of some service. */
+  /** Whether this host is changing the primary of some service. */
   readonly isChangingPrimary: boolean
   readonly longestStatementMilliseconds: number
-  /** Ends those of other hosts as soon as no statement runs in them. */
+  /** Ends each transaction of other hosts as soon as no statement runs in it. */
   endRelayedTransactions(): void
 }
 
 type StopStep = 'restingClosed' | 'intakeClosed' | 'transactionsEnded' | 'ended'
 
-/** How often the stop looks at what still runs. */
+/** Interval at which the stop checks for running work. */
 const POLL_INTERVAL_MILLISECONDS = 25
 
-/** Resting callers are sent away over this part, so that they do not all reconnect at once. */
+/** Idle sessions are closed over this share of the grace period, so that callers do not all reconnect at once. */
 const IDLE_CLOSING_SHARE = 0.25
 
-/** A caller that was answered so lately is about to ask again, and is sent away behind that answer. */
+/** A caller answered within this time probably sends again, so its session is closed after its next answer. */
 const RECENTLY_ACTIVE_MILLISECONDS = 200
 
 /**
- * From this part on no session is taken. A balancer may go on sending callers; who worked on to the
- * end of the process had a statement cut that a server had run.
+ * After this share of the grace period no session is accepted. A load balancer may continue to send callers; those
+ * that worked until the end of the process lost the answer to a statement that a server had run.
  */
 const INTAKE_SHARE = 0.5
 
-/** Transactions that were open at the signal have this part at least. */
+/** Transactions that were open at the signal get at least this share of the grace period. */
 const MIN_TRANSACTION_SHARE = 0.5
 
-/** The process ends before it is killed. */
+/** Reserved at the end of the grace period, so that the process exits before it is killed. */
 const EXIT_RESERVE_MILLISECONDS = 400
 
 export class PlannedStop {
@@ -91,9 +91,9 @@
   }
 
   /**
-   * Late enough that brief transactions end by themselves, and so early that a statement which began
-   * just before is answered before the process ends. Ended at half of the grace, transactions that
-   * callers had begun milliseconds ago were rolled back.
+   * Late enough that brief transactions end by themselves, and early enough that a statement which began just before
+   * is answered before the process exits. Ending at half of the grace period rolled back transactions that callers
+   * had begun milliseconds before.
    */
   get #transactionsEndAfter(): number {
     const { longestStatementMilliseconds } = this.#host
@@ -118,7 +118,7 @@
     while (this.#isWorking && this.#elapsed < limit) await rest(POLL_INTERVAL_MILLISECONDS)
   }
 
-  /** Who works is sent away behind an answer; the others one after the other, over a part of the grace. */
+  /** Closes idle sessions one after the other over a share of the grace period; busy ones close after an answer. */
   async #closeIdleSessions(): Promise<void> {
     const span = this.#grace * IDLE_CLOSING_SHARE
     for (let left = span; left > 0; left = span - this.#elapsed) {
@@ -131,7 +131,7 @@
     }
   }
 
-  /** Those that are not about to ask, the longest rest first. */
+  /** Sessions that were not active recently, the longest idle first. */
   get #idleSessions(): CallerSession[] {
     const before = this.#context.clock.now() - RECENTLY_ACTIVE_MILLISECONDS
     return [...this.#host.sessions]
--- a/packages/host/src/primaryClaim.ts
+++ b/packages/host/src/primaryClaim.ts
@@ -1,6 +1,6 @@
 /**
- * The claim of one host to change the primary of a service: a record in the store under a lease, made
- * by compare-and-swap. Its revision is the fencing token.
+ * One host's claim to change the primary of a service: a record in the store under a lease, written by
+ * compare-and-swap. Its revision is the fencing token.
  *
  * @internal
  */
@@ -9,10 +9,10 @@
 import type { StoreLink } from '@nutmegcourse/protocol'
 import type { HostContext } from './hostContext.js'
 
-/** Limit of one call to the store; a slow one takes some hundred milliseconds. */
+/** Limit of one call to the store; a slow call takes some hundred milliseconds. */
 export const CALL_LIMIT_MILLISECONDS = 1000
 
-/** A change takes one to two seconds; the lease outlives its slowest steps and is renewed between them. */
+/** A change of primary takes one to two seconds; the lease covers its slowest step and is renewed between steps. */
 const CLAIM_MILLISECONDS = 4000
 
 export interface Claim {
@@ -21,7 +21,7 @@
   readonly lease: number
 }
 
-/** Takes what a failed claim found in its place. */
+/** Receives the record that a failed claim found in the store. */
 export type ConflictListener = (value: string | null, revision: number) => void
 
 export class PrimaryClaims {
@@ -48,8 +48,8 @@
   }
 
   /**
-   * `revision` is that of the record on which the decision to claim stands. One that was heard of
-   * meanwhile may be another host's claim, and must not be overwritten.
+   * `revision` is that of the record on which the decision to claim is based. A record written since then may be
+   * another host's claim, which must not be overwritten.
    */
   async claim(revision: number): Promise<Claim | null> {
     const lease = await this.#store.grantLease(this.lifetimeMilliseconds, CALL_LIMIT_MILLISECONDS)
@@ -75,7 +75,7 @@
     return this.#failed(made.value.kind)
   }
 
-  /** The answer to a claim was lost: what the store holds tells whether it was made. */
+  /** Reads the record after a claim got no answer, to find out whether the store made it. */
   async #resolveUnanswered(attempt: string, lease: number): Promise<Claim | null> {
     const read = await this.#store.read(changeKey(this.#service), CALL_LIMIT_MILLISECONDS)
     if (read.isErr()) return this.#failed(read.error.kind)
@@ -90,7 +90,7 @@
     return null
   }
 
-  /** Renews the lease. False when the claim is gone; a store that is away says nothing. */
+  /** Renews the lease. False when the claim is gone; true also when the store is unavailable. */
   async renew(claim: Claim): Promise<boolean> {
     const renewed = await this.#store.renewLease(claim.lease, CALL_LIMIT_MILLISECONDS)
     if (renewed.isErr() || renewed.value) return true
@@ -98,7 +98,7 @@
     return false
   }
 
-  /** Tells all hosts who leads now, in place of the claim. */
+  /** Replaces the claim by a record of the new primary, which all hosts receive. */
   async recordDone(claim: Claim, primary: BackendServerId): Promise<void> {
     const key = changeKey(this.#service)
     const { entryHost: holder } = this.#context.settings
--- a/packages/host/src/primaryProbe.ts
+++ b/packages/host/src/primaryProbe.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the knowledge of one service's primary fresh though no request does: asks it, as a primary,
- * where its log ends, and looks for another one when it refuses or is gone.
+ * Keeps the state of one service's primary fresh without depending on requests: begins a writable transaction to
+ * read the end of its log, and searches for another primary when it refuses or is gone.
  *
  * @internal
  */
@@ -12,17 +12,17 @@
 import type { ServiceDesk } from './serviceDesk.js'
 
 /**
- * Questions within the least age that a route accepts. A read then finds a bound old enough for
- * replicas to have reached it, also when one answer is lost.
+ * Probes within the shortest age that a route accepts. A read then finds a bound old enough for replicas to have
+ * reached it, even when one answer is lost.
  */
 const PROBES_PER_AGE = 4
 const SHORTEST_INTERVAL_MILLISECONDS = 100
 const LONGEST_INTERVAL_MILLISECONDS = 500
 
-/** While no server is known to lead, every one is asked this often. */
+/** Interval of probing all servers while no working primary is known. */
 const SEARCH_INTERVAL_MILLISECONDS = 50
 
-/** An answer takes a round trip; later than this the connection counts as broken. */
+/** An answer takes one round trip; after this limit the connection is considered broken. */
 const ANSWER_LIMIT_MILLISECONDS = 400
 
 export class PrimaryProbe {
--- a/packages/host/src/serviceRegistry.ts
+++ b/packages/host/src/serviceRegistry.ts
@@ -1,6 +1,6 @@
 /**
- * What this host knows of the fleet's services, as the store tells it: the configuration, the backend
- * servers, and for each service the service, probe and keeper that work with it.
+ * Registry of the fleet's services as read from the store: the configuration, the backend servers, and for each
+ * service its state, its probe and its failover controller.
  *
  * @internal
  */
@@ -39,9 +39,9 @@
   readonly promotion: PromotionPort
 }
 
-/** What a tick has to know of the host. */
+/** State of the host that a tick depends on. */
 export interface TickConditions {
-  /** No tick came for so long that only a standstill of the process explains it. */
+  /** The last tick was so long ago that the process must have been stalled. */
   readonly wasStalled: boolean
   readonly isStopping: boolean
 }
@@ -58,7 +58,7 @@
   readonly #configuration = new ConfigurationHolder()
   readonly #components = new Map<string, ServiceComponents>()
   readonly #listReceived = new Signal()
-  /** Hears that the store has come back from an older copy. */
+  /** Called when the store was restored from an older copy. */
   readonly #onRestored: () => void
   #isListed = false
   #ownRecord: StoredRecord | null = null
@@ -78,7 +78,7 @@
     this.#directory = new ServerDirectory(context.settings.drainMilliseconds)
   }
 
-  /** Whether it can tell where callers' work goes. */
+  /** Whether statements can be routed: there is a configuration, and each service has a backend server. */
   get isServable(): boolean {
     if (this.#configuration.current === null) return false
     return [...this.#components.values()].every(({ service }) => service.servers.length > 0)
@@ -92,18 +92,18 @@
     return this.#configuration.current?.idleTransactionMilliseconds ?? Number.POSITIVE_INFINITY
   }
 
-  /** What the slowest route gives one statement. */
+  /** The longest statement timeout of all routes. */
   get longestStatementMilliseconds(): number {
     const routes = this.#configuration.current?.routes ?? []
     return Math.max(0, ...routes.map(route => route.statementTimeoutMilliseconds))
   }
 
-  /** Whether this host changes the primary of some service. */
+  /** Whether this host is changing the primary of some service. */
   get isChanging(): boolean {
     return [...this.#components.values()].some(({ failover }) => failover.isChanging)
   }
 
-  /** Whether a server owes an answer, or a primary changes. */
+  /** Whether an answer of a server is outstanding, its connections are refused, or a primary is being changed. */
   get hasPendingWork(): boolean {
     if (this.isChanging) return true
     return this.#services().some(({ servers }) =>
@@ -162,7 +162,7 @@
     for (const { service, probe, failover } of this.#components.values()) {
       const isActive = service.isActive(now)
       for (const server of service.servers) {
-        // What was asked before a standstill was answered while nobody looked.
+        // Answers to requests from before a stall arrived while the process could not read them.
         if (wasStalled) server.forgetQuestions()
         server.writes.noteTick(now)
         server.watchLife(now)
@@ -201,7 +201,7 @@
     }
   }
 
-  /** Claims made since the copy are gone from the store, while their holders may still act on them. */
+  /** Claims made since the copy are missing from the store, while their holders may still act on them. */
   #storeRestored(now: Milliseconds): void {
     for (const { failover } of this.#components.values()) failover.storeRestored(now)
     this.#onRestored()
@@ -287,7 +287,7 @@
 
   readonly #interest: ServiceInterest = {
     worksWith: name => {
-      // Hosts that work with the service may get their changes through this one.
+      // Hosts that work with the service may read the change feed of this one.
       if (this.#changeFeed.hasReaders) return true
       const known = this.#components.get(name)?.service
       return known !== undefined && (known.isObserved || known.isActive(this.#context.clock.now()))
