--- a/packages/host/__tests__/changeOfPrimary.spec.ts
+++ b/packages/host/__tests__/changeOfPrimary.spec.ts
@@ -7,10 +7,10 @@
 const eventsOf = (hosts: readonly SceneHost[], event: string): number =>
   hosts.reduce((sum, { lines }) => sum + lines.filter(line => line.event === event).length, 0)
 
-/** Longer than a change of primary takes here. */
+/** Longer than a change of primary takes in these tests. */
 const REPLICATION_OUTAGE_MILLISECONDS = 2500
 
-/** Writes again and again until one succeeds; how often it was told something else. */
+/** Writes repeatedly until one write succeeds; returns the other outcomes before it. */
 async function writeUntilDone(caller: Caller, span = 6000): Promise<string[]> {
   const failures: string[] = []
   const limit = performance.now() + span
@@ -24,11 +24,8 @@
 }
 
 describe('a change of primary by entry hosts', () => {
-  /**
-   * Story of each: the primary is gone in one of these ways. Callers' writes must succeed again
-   * within seconds at a server that holds all that was acknowledged, and none may be told that
-   * nothing is kept when it is.
-   */
+  // After each of these failures callers' writes must succeed again within seconds, at a server that holds
+  // all acknowledged writes. No write may be reported as not kept when it is.
   const ways: readonly (readonly [string, (scene: Scene) => void])[] = [
     [
       'crashes',
@@ -37,13 +34,13 @@
       },
     ],
     [
-      'answers nothing',
+      'does not answer',
       scene => {
         scene.group.server(P).isSilent = true
       },
     ],
     [
-      'crashes while a replica is deaf',
+      'crashes while a replica receives nothing',
       scene => {
         scene.group.server(A).isDeaf = true
         scene.group.commit(scene.group.primary, ['only at b'])
@@ -68,10 +65,10 @@
     })
   }
 
-  // The primary goes dark while readers hold every connection that the replicas take. Orders to the
-  // replicas came over new connections, which they rejected as too many; for seconds nobody was
-  // promoted, though the connections were free again every few milliseconds.
-  it('reaches replicas that take no further connection', async () => {
+  // The primary becomes silent while readers use every connection that the replicas accept. Orders over new
+  // connections were rejected as too many, and no replica was promoted for seconds, although the pooled
+  // connections became free every few milliseconds.
+  it('sends orders to replicas that accept no further connection', async () => {
     const options = { connectionLimit: 1 }
     await inScene(1, fillReplicas, options)
     async function fillReplicas(scene: Scene, [host]: readonly SceneHost[]): Promise<void> {
@@ -93,11 +90,10 @@
     }
   })
 
-  // A primary, two of its three owners and four other hosts are split from the store and the
-  // replicas. The third owner alone finds it silent; that it might itself be cut off made it wait
-  // for seconds, though two hosts beside it knew no better and were never asked. They are, and say
-  // so.
-  it('is not waited for when the other owners are cut off with the primary', async () => {
+  // A network partition separates the primary, two of its three owners and four other hosts from the store and the
+  // replicas. Only the third owner finds the primary silent; it waited for seconds because it might have been cut
+  // off itself, while the two other hosts on its side had no vote. Now they vote too.
+  it('is not delayed when the other owners are cut off together with the primary', async () => {
     const options = { connectionLimit: 22, relayPorts: await freePorts(9) }
     await inScene(9, isolatePrimary, options)
     async function isolatePrimary(scene: Scene, hosts: readonly SceneHost[]): Promise<void> {
@@ -114,10 +110,10 @@
     }
   })
 
-  // The primary goes dark in the busiest minute. New statements keep coming for it; each of them made a
-  // host take the server for one that had just been given work, and none asked whether it lives. Callers
-  // were refused for seconds, until the store dropped the server's entry.
-  it('notices a silent primary under load', async () => {
+  // The primary becomes silent under load. Each new statement made a host treat the server as one that had just
+  // received work, so no host probed it. Callers were refused for seconds, until the store removed the server's
+  // entry.
+  it('detects a silent primary under load', async () => {
     await inScene(3, async (scene, hosts) => {
       const told: Promise<string>[] = []
       const load = setInterval(() => {
@@ -136,9 +132,9 @@
     })
   })
 
-  // The primary says that it leaves. It goes on serving until another one leads, so that callers see
-  // no more than a few refused statements, and all are done again within the time of one.
-  it('moves away from a leaving primary without a pause for callers', async () => {
+  // The primary announces that it is leaving. It serves until another server leads, so that callers see at most a
+  // few refused statements, whose retries succeed within the time limit of one statement.
+  it('replaces a leaving primary without an interruption for callers', async () => {
     await inScene(3, async (scene, [host]) => {
       if (host === undefined) return
       const caller = await scene.caller(host, 'latest')
@@ -154,9 +150,9 @@
     })
   })
 
-  // Two hosts see at the same moment that the primary leaves. While one waits for its lease the
-  // other claims; the first must not overwrite that claim with its own, or two hosts pause and
-  // promote against each other and replicas stay paused for good.
+  // Two hosts detect at the same time that the primary is leaving. While one waits for its lease, the other makes
+  // its claim. If the first overwrote that claim, both would pause and promote servers concurrently, and replicas
+  // would stay paused forever.
   it('does not overwrite a claim that was made while it prepared its own', async () => {
     await inScene(0, async scene => {
       const slow = new SlowLeases(scene.store)
@@ -173,9 +169,9 @@
     })
   })
 
-  // The host that changes the primary dies between pausing the replicas and the promotion. Writes
-  // would hang for good; another host takes the change up when the claim's lease has ended.
-  it('takes up a change whose host is gone', async () => {
+  // The host that changes the primary dies between pausing the replicas and the promotion. Writes would hang
+  // forever unless another host continued the change after the lease of the claim has ended.
+  it('continues a change whose host has died', async () => {
     await inScene(3, async (scene, hosts) => {
       const [host] = hosts
       if (host === undefined) return
@@ -192,9 +188,9 @@
     })
   })
 
-  // The platform does not answer the order to promote, and carries it out later. The order is given
-  // again until its effect shows; whatever comes late changes nothing more.
-  it('settles an order to promote that was not answered', async () => {
+  // The platform does not answer the order to promote, and carries it out later. The order is repeated until the
+  // promotion is observed; a late execution must change nothing more.
+  it('repeats an unanswered order to promote without a second promotion', async () => {
     await inScene(2, async (scene, hosts) => {
       let orders = 0
       scene.promotionFault = () => {
@@ -212,9 +208,9 @@
     })
   })
 
-  // The store loses the answer to a claim. The host must find out whether it holds the claim, not
-  // claim a second time against itself, and not leave the service without a primary.
-  it('finds out whether an unanswered claim was made', async () => {
+  // The store's answer to a claim is lost. The host must determine whether it holds the claim. It must neither
+  // conflict with its own claim nor leave the service without a primary.
+  it('determines whether an unanswered claim was made', async () => {
     await inScene(2, async (scene, hosts) => {
       const [first, second] = hosts
       if (first === undefined || second === undefined) return
@@ -228,7 +224,7 @@
   })
 })
 
-/** A connection to the store that holds back the grant of leases. */
+/** A connection to the store that can delay the grant of leases. */
 class SlowLeases extends StoreConnection {
   #held: Promise<void> | null = null
   #release: (() => void) | null = null
--- a/packages/host/__tests__/changeUrgency.spec.ts
+++ b/packages/host/__tests__/changeUrgency.spec.ts
@@ -5,9 +5,9 @@
 import { isUrgent, type ServiceInterest } from '../src/changeUrgency.js'
 import { CONFIGURATION } from './support/scene.js'
 
-// A primary is cut off from a few hosts of a large fleet. Each of its owners puts a vote into the
-// store, and every vote ended the watch of every host: thousands of calls for votes that only the
-// owners count. Hosts that do not work with the service may let such changes gather.
+// A primary is cut off from a few hosts of a large fleet. Each of its owners writes a vote to the store, and every
+// vote ended the watch of every host: thousands of calls for votes that only the owners count. Hosts that do not
+// work with the service may batch such changes.
 
 const entry = (service: string, isLeaving: boolean, role: 'primary' | 'replica') =>
   ({
@@ -38,26 +38,26 @@
 
 const cases: readonly (readonly [string, DirectoryChange, boolean])[] = [
   ['a configuration', { kind: 'configuration', configuration: CONFIGURATION }, false],
-  ['what can not be read', { kind: 'unreadable', key: 'k', detail: 'd' }, false],
+  ['an unreadable item', { kind: 'unreadable', key: 'k', detail: 'd' }, false],
   ['a replica that appears', listed('owned', false, 'replica'), false],
   ['a primary', listed('owned', false, 'primary'), true],
-  ['a server that leaves', listed('owned', true, 'replica'), true],
-  ['a primary of a service of others', listed('other', false, 'primary'), false],
-  ['a server that leaves a service of others', listed('other', true, 'replica'), false],
-  ['a server that is gone', gone('owned'), true],
-  ['a server of others that is gone', gone('other'), false],
-  ['a server that was never known', gone('unknown'), false],
-  ['another host', record('host/h'), false],
+  ['a leaving server', listed('owned', true, 'replica'), true],
+  ['a primary of a service of other hosts', listed('other', false, 'primary'), false],
+  ['a leaving server of a service of other hosts', listed('other', true, 'replica'), false],
+  ['a removed server', gone('owned'), true],
+  ['a removed server of a service of other hosts', gone('other'), false],
+  ['a removed server that was never known', gone('unknown'), false],
+  ['the record of a host', record('host/h'), false],
   ['a vote', record('suspicion/owned/h'), true],
-  ['a vote on a service of others', record('suspicion/other/h'), false],
+  ['a vote on a service of other hosts', record('suspicion/other/h'), false],
   ['a claim', record('change/owned'), true],
-  ['a claim on a service of others', record('change/other'), false],
-  ['a key of nobody', record('else'), false],
+  ['a claim on a service of other hosts', record('change/other'), false],
+  ['a record of an unknown kind', record('else'), false],
 ]
 
-describe('the next change in the store is urgent', () => {
+describe('the next change in the store', () => {
   for (const [name, change, urgent] of cases) {
-    it(`${urgent ? 'after' : 'not after'} ${name}`, () => {
+    it(`${urgent ? 'is urgent' : 'is not urgent'} after ${name}`, () => {
       expect(isUrgent(change, interest)).toEqual(urgent)
     })
   }
--- a/packages/host/__tests__/decisionLog.spec.ts
+++ b/packages/host/__tests__/decisionLog.spec.ts
@@ -4,14 +4,14 @@
 import { HostMetrics } from '../src/hostMetrics.js'
 
 describe('DecisionLog', () => {
-  // A backend server refuses everything for a while. Lines about that must not cost more than the
-  // work itself, and whoever reads them must see that there were more.
+  // A backend server refuses everything for a while. Logging must not cost more than the work itself, and readers of
+  // the log must see that lines were left out.
   const cases = [
     { event: 'try_failed', most: 15 },
     { event: 'statement_refused', most: 100 },
   ] as const
   for (const { event, most } of cases) {
-    it(`writes at most ${most} lines of ${event} a second, and counts all`, () => {
+    it(`writes at most ${most} lines of ${event} a second and counts all events`, () => {
       const lines: string[] = []
       const metrics = new HostMetrics()
       const log = new DecisionLog({ info: name => lines.push(name) }, metrics)
--- a/packages/host/__tests__/fleetStart.spec.ts
+++ b/packages/host/__tests__/fleetStart.spec.ts
@@ -9,10 +9,10 @@
 const callsOf = ({ store }: Scene, name: string): number => store.calls.get(name) ?? 0
 
 const HOSTS = 24
-/** Longer than hosts take to hear of each other. */
+/** Longer than hosts take to learn of each other. */
 const SETTLE_MILLISECONDS = 4000
 
-/** One host that is registered; `ports` are those of its lives, in order. */
+/** Runs a test with one registered host; `ports` are the relay ports of its incarnations, in order. */
 async function withRegisteredHost(
   ports: readonly number[],
   run: (scene: Scene, first: SceneHost, key: string) => Promise<void>,
@@ -26,9 +26,9 @@
   await inScene(1, start, { relayPorts: ports })
 }
 
-describe('the calls to the store when hosts start', () => {
-  // Guards against a start that costs each host some watches before it knows through whom it may follow.
-  it('are few where the whole fleet starts for the first time', async () => {
+describe('the start of hosts', () => {
+  // Guards against a start in which each host makes several watches before it knows through which host to follow.
+  it('costs few calls to the store when the whole fleet starts for the first time', async () => {
     const options = { relayPorts: await freePorts(HOSTS), isFirstStart: true }
     await inScene(
       HOSTS,
@@ -41,8 +41,8 @@
     )
   })
 
-  // Guards against a return of all hosts at once in which each tells all others that it is back, though its record stands.
-  it('are one and a renewal for a host that starts again while its record stands', async () => {
+  // Guards against a simultaneous restart of all hosts in which each writes its record again although it is unchanged.
+  it('only renews the lease of a host that starts again while its record is still stored', async () => {
     const [port = 0] = await freePorts(1)
     await withRegisteredHost([port, port], async (scene, first, key) => {
       const standing = scene.store.record(key)
@@ -55,7 +55,7 @@
     })
   })
 
-  it('are those of a new host where the record is of another address', async () => {
+  it('registers the host again when its stored record has another address', async () => {
     const ports = await freePorts(2)
     await withRegisteredHost(ports, async (scene, first, key) => {
       first.host.close()
@@ -66,7 +66,7 @@
     })
   })
 
-  it('are those of a new host where the lease of its record has ended', async () => {
+  it('registers the host again when the lease of its record has ended', async () => {
     const [port = 0] = await freePorts(1)
     await withRegisteredHost([port, port], async (scene, first, key) => {
       await first.host.stop()
--- a/packages/host/__tests__/newsBudget.spec.ts
+++ b/packages/host/__tests__/newsBudget.spec.ts
@@ -15,11 +15,11 @@
 import { StoreFollower } from '../src/storeFollower.js'
 import { changeFeedWith, followerContext } from './support/followerContext.js'
 
-describe('how long news may take in all', () => {
+describe('the worst-case delay of a change', () => {
   const bounds: readonly (readonly [number, string])[] = [
-    [4000, 'the least bound that is known'],
-    [6000, 'a longer one'],
-    [13_000, 'that of the largest fleet'],
+    [4000, 'the shortest known bound'],
+    [6000, 'a longer bound'],
+    [13_000, 'the bound of the largest fleet'],
   ]
   for (const [bound, name] of bounds) {
     it(`stays within ${name}`, () => {
@@ -27,17 +27,18 @@
     })
   }
 
-  it('waits long where the bound allows it, since each watch that ends is a call', () => {
+  // Each watch that ends costs a call.
+  it('allows long watches under a long bound', () => {
     expect(changeDelayBudget(13_000).storeWatch).toEqual(5000)
   })
 })
 
-// A new route is told to a host four seconds late, and its callers hear that there is no such
-// database. The store was about to forget its history: it told nobody of the change, cut all
-// watches a second later, and accepted the next watch of some hosts although the change that it had
-// to begin with was gone. Such a watch is silent to its end.
+// A host received a new route four seconds late, and refused its callers because the database was unknown to it. The
+// store was about to compact its history: it reported the change to no host, cut all watches a second later, and
+// accepted the next watch of some hosts although the change to begin with was gone. Such a watch reports nothing
+// until its end.
 
-/** When the store does what, in milliseconds. */
+/** When the store makes the change and when it compacts its history, in milliseconds. */
 const CHANGE_AT = 1100
 const FORGETS_AT = 2200
 
@@ -49,11 +50,11 @@
   idleTransactionMilliseconds: 3000,
 }
 
-/** A store in virtual time that forgets its history once, and says so only when a watch ends. */
+/** A store in virtual time that compacts its history once, and reports it only at the end of a watch. */
 class ForgetfulStore {
   readonly waits: number[] = []
   readonly #clock: VirtualClock
-  /** A change that nobody waits for ends the first watch, so that the host rests before the next. */
+  /** When a change that no caller waits for ends the first watch, so that the host pauses before the next. */
   readonly #firstChangeAt: number | null
 
   constructor(clock: VirtualClock, firstChangeAt: number | null) {
@@ -87,7 +88,7 @@
   }
 }
 
-/** When the host takes the configuration, and how long its watches were to wait. */
+/** Returns when the host receives the configuration, and the requested waits of its watches. */
 async function followForgetfulStore(
   firstChangeAt: number | null,
   isAwaited = false,
@@ -112,26 +113,25 @@
   })
 }
 
-describe('a change that the store told nobody of', () => {
-  it('is in force in time after the watch was cut', async () => {
+describe('a change that the store did not report', () => {
+  it('is in force within the bound after the watch was cut', async () => {
     const { at } = await followForgetfulStore(null)
     expect(at - CHANGE_AT < 4000).toEqual(true)
   })
 
-  it('is looked for soon after the cut: the next watch is brief', async () => {
+  it('is received soon after the cut, since the next watch is brief', async () => {
     const { at } = await followForgetfulStore(null)
     expect(at - FORGETS_AT < 1000).toEqual(true)
   })
 
-  // All hosts start while the store is away; the servers' entries lapsed and come back one by one.
-  // After the first of them a host let the others gather, and its callers waited a second more for
-  // the primary.
-  it('is waited for without a rest while callers wait for it', async () => {
+  // All hosts start while the store is unavailable; the entries of servers expired and return one by one. A host that
+  // batched after the first of them made its callers wait a second longer for the primary.
+  it('is awaited without a batching pause while callers wait for it', async () => {
     const { waits } = await followForgetfulStore(1000, true)
     expect(waits[1]).toEqual(waits[0])
   })
 
-  it('is looked for soon after a rest between two watches', async () => {
+  it('is awaited by a brief watch after a batching pause', async () => {
     const { waits } = await followForgetfulStore(1000)
     expect((waits[1] ?? 0) < (waits[0] ?? 0)).toEqual(true)
   })
--- a/packages/host/__tests__/ownerPlanning.spec.ts
+++ b/packages/host/__tests__/ownerPlanning.spec.ts
@@ -8,8 +8,8 @@
 import { NewsDesk } from '../src/newsDesk.js'
 import { ServiceRegistry, type ServiceRegistryPorts } from '../src/serviceRegistry.js'
 
-// Guards against a fleet that works out its owners once for each host that it hears of: at the start, and after a
-// loss of power, that is hosts times services times hosts draws at every host.
+// Guards against planning the owners again for each host that is added: when the fleet starts, or after a power loss,
+// that makes hosts times services times hosts draws at every host.
 
 const SERVICES = 14
 const ZONES = ['a1', 'a2', 'a3', 'b1', 'b2', 'b3']
@@ -67,7 +67,7 @@
 
 interface Case {
   readonly name: string
-  /** What the first list says, and one answer of the watch after it. */
+  /** The first list, and the changes of one watch after it. */
   readonly listed: readonly DirectoryChange[]
   readonly changes: readonly DirectoryChange[]
   readonly plans: number
@@ -75,22 +75,27 @@
 
 const CASES: readonly Case[] = [
   { name: 'a list of 9 hosts', listed: [CONFIGURED, ...hosts(0, 9)], changes: [], plans: SERVICES },
-  { name: 'a list of 195', listed: [CONFIGURED, ...hosts(0, 195)], changes: [], plans: SERVICES },
   {
-    name: 'a list of 1,500',
+    name: 'a list of 195 hosts',
+    listed: [CONFIGURED, ...hosts(0, 195)],
+    changes: [],
+    plans: SERVICES,
+  },
+  {
+    name: 'a list of 1,500 hosts',
     listed: [CONFIGURED, ...hosts(0, 1500)],
     changes: [],
     plans: SERVICES,
   },
   {
-    name: 'a list, and again for 50 hosts that join at once',
+    name: 'a list and once more for 50 hosts that join at once',
     listed: [CONFIGURED, ...hosts(0, 195)],
     changes: hosts(195, 245),
     plans: 2 * SERVICES,
   },
 ]
 
-describe('owners are planned once a service for', () => {
+describe('owners are planned once per service for', () => {
   for (const { name, listed, changes, plans } of CASES) {
     it(name, () => {
       const lines: string[] = []
--- a/packages/host/__tests__/storeFollower.spec.ts
+++ b/packages/host/__tests__/storeFollower.spec.ts
@@ -17,10 +17,10 @@
 import { StoreFollower } from '../src/storeFollower.js'
 import { changeFeedWith, followerContext } from './support/followerContext.js'
 
-// One host is cut off from the store for four seconds. Meanwhile a backend server says that it leaves, which
-// the host hears two seconds late; it counted the server's time from then, and gave it new work after the
-// time was over, when the server may be gone and another stand at its address. What is heard
-// after a failure may have been so since the last answer before it.
+// One host is cut off from the store for four seconds. Meanwhile a backend server announces that it is leaving, which
+// the host receives two seconds late. The host counted the server's remaining time from then, and sent it new work
+// after the time was over, when the server may be gone and another one may use its address. A change received after a
+// failure may be as old as the last response before the failure.
 
 const LEAVING: RevisedChange = {
   kind: 'server',
@@ -40,7 +40,7 @@
 
 type Answer = DirectoryEvents | StoreFailure
 
-/** What one call of the store gives, and how long it takes. */
+/** The result of one call to the store, and its duration in milliseconds. */
 interface Step {
   readonly call: 'list' | 'watch'
   readonly takes: number
@@ -54,7 +54,7 @@
 
 const CASES: readonly (readonly [string, readonly Step[], number])[] = [
   [
-    'a watch that waited: now',
+    'received by a watch that waited is counted from now',
     [
       { call: 'list', takes: 10, answer: EMPTY },
       { call: 'watch', takes: 3000, answer: CHANGE },
@@ -62,7 +62,7 @@
     3010,
   ],
   [
-    'a watch after one that failed: when the store last answered',
+    'received after a failed watch is counted from the last response of the store',
     [
       { call: 'list', takes: 10, answer: EMPTY },
       { call: 'watch', takes: 500, answer: EMPTY },
@@ -72,7 +72,7 @@
     510,
   ],
   [
-    'a list after the history was gone: when the store last answered',
+    'listed after the history was compacted is counted from the last response of the store',
     [
       { call: 'list', takes: 10, answer: EMPTY },
       { call: 'watch', takes: 500, answer: EMPTY },
@@ -81,7 +81,11 @@
     ],
     510,
   ],
-  ['the first list: when it was asked for', [{ call: 'list', takes: 10, answer: CHANGE }], 0],
+  [
+    'of the first list is counted from the request for it',
+    [{ call: 'list', takes: 10, answer: CHANGE }],
+    0,
+  ],
 ]
 
 async function earliestChangeTime(steps: readonly Step[]): Promise<number> {
@@ -116,7 +120,7 @@
   })
 }
 
-describe('a change of the store may be as old as', () => {
+describe('a change', () => {
   for (const [name, steps, since] of CASES) {
     it(name, async () => {
       expect(await earliestChangeTime(steps)).toEqual(since)
--- a/packages/host/__tests__/storeRestored.spec.ts
+++ b/packages/host/__tests__/storeRestored.spec.ts
@@ -16,10 +16,10 @@
     'every host knows that the store was restored',
   )
 
-describe('hosts whose store came back from an older copy', () => {
-  // The copy is older than the hosts. Those that heard first took the others for gone, planned the connections anew,
-  // and again as each came back.
-  it('register again, and take each other for gone no sooner', async () => {
+describe('hosts whose store was restored from an older copy', () => {
+  // The copy is older than the hosts' records. The first hosts to learn of the restore considered the others gone, and
+  // planned the connections again, once more as each of them returned.
+  it('register again without considering each other gone', async () => {
     const options = { relayPorts: await freePorts(4), connectionLimit: 12 }
     await inScene(
       4,
@@ -39,7 +39,7 @@
     )
   })
 
-  it('go on with the newest configuration that they have acted on', async () => {
+  it('keep the newest configuration that they had in force', async () => {
     await inScene(2, async (scene, hosts) => {
       const copy = scene.store.copy()
       scene.configure({ version: 2, routes: CONFIGURATION.routes.slice(0, 1) })
@@ -54,9 +54,9 @@
     })
   })
 
-  // A holder is in the middle of its change when the store loses its claim. Another host that claimed at once would
-  // order beside it.
-  it('claim nothing anew while the holder of a lost claim may still act', async () => {
+  // The store loses a claim while its holder changes the primary. Another host that claimed the change at once would
+  // send orders concurrently.
+  it('make no new claim while the holder of a lost claim may still act', async () => {
     await inScene(3, async (scene, hosts) => {
       const copy = scene.store.copy()
       scene.promotionFault = () => 'noAnswer'
@@ -76,8 +76,9 @@
     })
   })
 
-  // A replica has said that it leaves; the copy does not know. It was given work again until it said so once more.
-  it('leave alone a server that had said that it leaves', async () => {
+  // A replica has announced that it is leaving, after the copy was made. It received work again until it repeated the
+  // announcement.
+  it('send no work to a server that had announced that it is leaving', async () => {
     await inScene(1, async (scene, [host]) => {
       const copy = scene.store.copy()
       scene.list(A, { isLeaving: true })
@@ -94,9 +95,9 @@
   })
 })
 
-describe('a host that stopped', () => {
-  // A wait for news of a restored store went on for minutes after the stop, and the process with it.
-  it('leaves no timer behind that keeps its process alive', async () => {
+describe('a stopped host', () => {
+  // A timer that waited for a restore of the store kept the process alive for minutes after the stop.
+  it('leaves no timer that keeps its process alive', async () => {
     const timers = (): number =>
       process.getActiveResourcesInfo().filter(each => each === 'Timeout').length
     const before = timers()
--- a/packages/host/__tests__/support/followerContext.ts
+++ b/packages/host/__tests__/support/followerContext.ts
@@ -4,7 +4,7 @@
 import type { ChangeFeed } from '../../src/storeFollower.js'
 import { ChangeFeedReader, type NewsPeer } from '../../src/zoneNews.js'
 
-/** All of a host that following the store needs. */
+/** The part of a host's context that `StoreFollower` needs. */
 export const followerContext = (clock: VirtualClock): HostContext =>
   ({
     clock,
@@ -16,7 +16,7 @@
     log: { write: () => undefined },
   }) as unknown as HostContext
 
-/** What a follower needs of the other hosts: those that it may ask. */
+/** A change feed whose reader may ask the given hosts. */
 export const changeFeedWith = (
   context: HostContext,
   sources: () => readonly NewsPeer[] = () => [],
--- a/packages/host/__tests__/zoneFollowing.spec.ts
+++ b/packages/host/__tests__/zoneFollowing.spec.ts
@@ -8,10 +8,10 @@
 const HOSTS = 24
 const ZONES = ['zone-1', 'zone-2']
 
-/** The time within which a configuration must be in force here. */
+/** The time within which a configuration must be in force. */
 const BOUND_MILLISECONDS = 4000
 
-/** Hosts hear of each other, and of whom they follow through, within this. */
+/** Longer than hosts take to learn of each other and through which host they follow the store. */
 const SETTLE_MILLISECONDS = 3000
 
 async function withZones(run: (scene: Scene, hosts: readonly SceneHost[]) => Promise<void>) {
@@ -29,7 +29,7 @@
 
 const watchesOf = ({ store }: Scene): number => store.calls.get('watch') ?? 0
 
-/** Milliseconds until all of these hosts have a version in force. */
+/** Configures a version; returns the milliseconds until it is in force at all of these hosts. */
 async function millisecondsUntilInForce(
   scene: Scene,
   hosts: readonly SceneHost[],
@@ -44,9 +44,9 @@
   return performance.now() - startedAt
 }
 
-describe('hosts of a zone follow the store through one of them', () => {
-  // Guards against calls that grow as hosts times changes: each change ended the watch of every host.
-  it('so that changes cost calls by zones, not by hosts', async () => {
+describe('hosts that follow the store through one host of their zone', () => {
+  // Guards against calls in proportion to hosts times changes: each change ended the watch of every host.
+  it('make calls in proportion to zones, not hosts', async () => {
     await withZones(async (scene, hosts) => {
       const before = watchesOf(scene)
       const changes = 20
@@ -57,7 +57,7 @@
       const span = await millisecondsUntilInForce(scene, hosts, 7)
       expect(span < BOUND_MILLISECONDS).toEqual(true)
       const made = watchesOf(scene) - before
-      // Fewer than one for each host.
+      // Fewer than one call per host.
       expect(made < HOSTS).toEqual(true)
     })
   })
@@ -67,10 +67,10 @@
     readonly fail: (host: SceneHost) => void
   }
 
-  // Guards against hosts that wait for news at one that will never tell.
+  // Guards against hosts that wait for changes at a host that will never respond.
   const FAILURES: readonly Failure[] = [
     {
-      name: 'one host after the other is gone',
+      name: 'one host after the other stops',
       fail: ({ host }) => {
         host.close()
       },
@@ -82,14 +82,14 @@
       },
     },
     {
-      name: 'one host after the other hears nothing from the store',
+      name: 'one host after the other gets no response from the store',
       fail: ({ store }) => {
         store.mood = 'silent'
       },
     },
   ]
   for (const { name, fail } of FAILURES) {
-    it(`and hear in time though ${name}`, async () => {
+    it(`receive changes within the bound when ${name}`, async () => {
       await withZones(async (scene, hosts) => {
         let version = 10
         for (let index = 0; index < 6; index += 1) {
--- a/packages/host/__tests__/zoneNews.spec.ts
+++ b/packages/host/__tests__/zoneNews.spec.ts
@@ -26,7 +26,7 @@
 
 const DECLINED: NewsAnswer = { kind: 'declined' }
 
-/** How the hosts of the zone answer, in their order; null: not within the limit. */
+/** The responses of the zone's hosts, in their order; null: none within the limit. */
 type Answers = readonly (NewsAnswer | null)[]
 
 interface FollowResult {
@@ -37,8 +37,8 @@
 }
 
 /**
- * One host that knows revision 10 follows on, until it has heard of revision 12, which the store holds. `from`: whom
- * it asked.
+ * Runs a host that knows revision 10 until it receives revision 12, which the store holds. `from` lists the hosts that
+ * it asked; `takes` is the duration of each request in milliseconds.
  */
 async function follow(answers: Answers, takes = 0): Promise<FollowResult> {
   const clock = new VirtualClock(1000)
@@ -92,36 +92,37 @@
   readonly from: readonly string[]
 }
 
-// Guards against hosts that hear late, or are taken back, when the host through which they follow fails.
+// Guards against hosts that receive changes late, or revert to an older state, when the host through which they follow
+// fails.
 const CASES: Readonly<Record<string, Case>> = {
-  'one that tells is enough': {
+  'asks one host when it responds': {
     answers: [{ ...UPDATE, changes: [record('b', 12)], revision: 12 }],
     from: ['host-1'],
   },
-  'one that is dead or frozen: the store is asked at once': {
+  'asks the store at once after a host that is dead or paused': {
     answers: [null],
     from: ['host-1', 'store'],
   },
-  'one that has lost the store: the store is asked at once': {
+  'asks the store at once after a host that has lost the store': {
     answers: [DECLINED],
     from: ['host-1', 'store'],
   },
-  'one that has lost the store, and one that has not': {
+  'asks the next host after one that has lost the store': {
     answers: [DECLINED, { ...UPDATE, changes: [record('b', 12)], revision: 12 }],
     from: ['host-1', 'host-2'],
   },
-  'one that is dead, and one that is not: the store, since the time is spent': {
+  'asks the store, not the next host, after one that is dead, since the wait is used up': {
     answers: [null, { ...UPDATE, changes: [record('b', 12)], revision: 12 }],
     from: ['host-1', 'store'],
   },
-  'one that lags behind this host: not believed': {
+  'ignores the response of a host that lags behind it': {
     answers: [{ ...UPDATE, changes: [record('b', 8)], revision: 8 }],
     from: ['host-1', 'store'],
   },
-  'none: the store': { answers: [], from: ['store'] },
+  'asks the store when there is no other host': { answers: [], from: ['store'] },
 }
 
-describe('a host follows the store through others of its zone', () => {
+describe('a host that follows the store through others of its zone', () => {
   for (const [name, { answers, from }] of Object.entries(CASES)) {
     it(name, async () => {
       const result = await follow(answers)
@@ -130,9 +131,9 @@
     })
   }
 
-  // Guards against a change that counts from its arrival, though the other host knew it for long: a server
-  // that leaves would get work after it is gone.
-  it('counts the age of news at the other host, and the way', async () => {
+  // Guards against counting the age of a change from its arrival when the other host has known it for longer: a leaving
+  // server would receive work after it is gone.
+  it('adds the age of a change at the other host and the transit time', async () => {
     const answer = {
       ...UPDATE,
       changes: [record('b', 12)],
@@ -144,28 +145,28 @@
     expect(since).toEqual(1000 + 350 - 300)
   })
 
-  // Guards against the same where the other host does not tell: the store is asked late then.
-  it('counts from its last knowledge where it waited for another host in vain', async () => {
+  // Guards against the same when the other host does not respond, so that the store is asked late.
+  it('counts from its last known state after waiting unsuccessfully for another host', async () => {
     const { since, from } = await follow([null], 2300)
     expect(from).toEqual(['host-1', 'store'])
     expect(since).toEqual(1000)
   })
 
-  // Guards against a change that counts from before this host knew that it was not made yet.
-  it('counts no change from before its own last knowledge', async () => {
+  // Guards against an age that reaches back to when this host knew that the change was not made yet.
+  it('counts no change from before its own last known state', async () => {
     const answer = { ...UPDATE, changes: [record('b', 12)], revision: 12, madeAgo: 5000 }
     expect((await follow([answer])).since).toEqual(1000)
   })
 
-  // Guards against lists of every host when the store forgets its history: the one that follows lists for all.
-  it('takes everything from one that no longer knows so old a revision', async () => {
+  // Guards against a list by every host when the store compacts its history: one host lists for all.
+  it('takes a complete list from a host that no longer has the changes after its revision', async () => {
     const answer = { ...UPDATE, isWhole: true, changes: [record('b', 12)], revision: 12 }
     const result = await follow([answer])
     expect(result.from).toEqual(['host-1'])
     expect(result.isWhole).toEqual(true)
   })
 
-  it('asks the next one where the first does not tell', async () => {
+  it('asks the next host at the next watch after the first did not respond', async () => {
     const context = followerContext(new VirtualClock(1000))
     const asked: string[] = []
     const peer = (name: string, answer: NewsAnswer | null): NewsPeer => ({
@@ -184,17 +185,17 @@
   })
 })
 
-describe('a host that tells others', () => {
+describe('a host that serves the change feed', () => {
   const serverAt = (clock: VirtualClock): NewsDesk => new NewsDesk(followerContext(clock))
   const NOW = milliseconds(0)
   const LISTED = { changes: [], revision: 10 }
   const AGE = { knownAt: NOW, madeSince: NOW }
 
-  it('declines before it has listed', async () => {
+  it('declines requests before its first list', async () => {
     expect(await serverAt(new VirtualClock()).answer(request(0, 1000))).toEqual(DECLINED)
   })
 
-  it('tells as soon as it hears', async () => {
+  it('responds as soon as it receives a change', async () => {
     const server = serverAt(new VirtualClock())
     server.takeList(LISTED, NOW)
     const answer = server.answer(request(10, 60_000))
@@ -209,13 +210,13 @@
     stops: server => {
       server.stop()
     },
-    'follows through another one': server => {
+    'follows through another host': server => {
       server.takeFromHost({ changes: [], revision: 12 }, AGE)
     },
   }
-  // Guards against hosts that wait at one which will never tell.
+  // Guards against hosts that wait at a host that will never respond.
   for (const [name, suspend] of Object.entries(SUSPENSIONS)) {
-    it(`sends those who wait elsewhere when it ${name}`, async () => {
+    it(`declines pending requests when it ${name}`, async () => {
       const server = serverAt(new VirtualClock())
       server.takeList(LISTED, NOW)
       const answer = server.answer(request(10, 60_000))
@@ -225,10 +226,10 @@
   }
 
   const FAILURES: readonly (readonly [string, number, NewsAnswer['kind']])[] = [
-    ['waits through one watch that is cut', 1, 'news'],
-    ['declines after two in a row', 2, 'declined'],
+    ['keeps requests pending when one watch is cut', 1, 'news'],
+    ['declines requests after two consecutive cuts', 2, 'declined'],
   ]
-  // Guards against a zone of hosts that all ask the store because one watch of one host was cut.
+  // Guards against all hosts of a zone asking the store because one watch of one host was cut.
   for (const [name, failures, kind] of FAILURES) {
     it(name, async () => {
       const context = followerContext(new VirtualClock())
@@ -259,8 +260,8 @@
     })
   }
 
-  // Guards against news that gathers while requests wait for a primary at another host.
-  it('knows that requests wait for news at one of them', async () => {
+  // Guards against batching changes while requests at another host wait for a primary.
+  it('knows that requests at a reading host wait for a change', async () => {
     const clock = new VirtualClock()
     const server = serverAt(clock)
     server.takeList(LISTED, NOW)
@@ -272,8 +273,8 @@
     expect(server.isAwaited).toEqual(false)
   })
 
-  // Guards against the age of the last answer for changes of an earlier one: whoever rested hears both at once.
-  it('tells how old its knowledge is, and the oldest of its changes', async () => {
+  // Guards against sending the age of the latest change for earlier ones: a host that paused receives both at once.
+  it('sends the age of its last known state and of the oldest change', async () => {
     const clock = new VirtualClock()
     const server = serverAt(clock)
     server.takeList(LISTED, NOW)
