--- a/packages/host/__tests__/changeOfPrimary.spec.ts
+++ b/packages/host/__tests__/changeOfPrimary.spec.ts
@@ -115,10 +115,10 @@
   // entry.
   it('detects a silent primary under load', async () => {
     await inScene(3, async (scene, hosts) => {
-      const told: Promise<string>[] = []
+      const outcomes: Promise<string>[] = []
       const load = setInterval(() => {
         for (const host of hosts) {
-          told.push(scene.caller(host, 'latest').then(caller => caller.tell('write 1')))
+          outcomes.push(scene.caller(host, 'latest').then(caller => caller.tell('write 1')))
         }
       }, 20)
       await new Promise(resolve => setTimeout(resolve, 200))
@@ -127,7 +127,7 @@
         await scene.until(() => scene.group.promotions > 0, 'another server leads', 2000)
       } finally {
         clearInterval(load)
-        await Promise.all(told)
+        await Promise.all(outcomes)
       }
     })
   })
--- a/packages/host/__tests__/newsBudget.spec.ts
+++ b/packages/host/__tests__/newsBudget.spec.ts
@@ -40,7 +40,7 @@
 
 /** When the store makes the change and when it compacts its history, in milliseconds. */
 const CHANGE_AT = 1100
-const FORGETS_AT = 2200
+const COMPACTS_AT = 2200
 
 const CONFIGURATION: FleetConfiguration = {
   version: 7,
@@ -51,7 +51,7 @@
 }
 
 /** A store in virtual time that compacts its history once, and reports it only at the end of a watch. */
-class ForgetfulStore {
+class CompactingStore {
   readonly waits: number[] = []
   readonly #clock: VirtualClock
   /** When a change that no caller waits for ends the first watch, so that the host pauses before the next. */
@@ -78,23 +78,23 @@
       this.#clock.advance(first - startedAt)
       return ok({ changes: [{ kind: 'unreadable', key: 'x', detail: '', revision }], revision })
     }
-    if (startedAt < FORGETS_AT && startedAt + wait >= FORGETS_AT) {
-      this.#clock.advance(FORGETS_AT - startedAt)
+    if (startedAt < COMPACTS_AT && startedAt + wait >= COMPACTS_AT) {
+      this.#clock.advance(COMPACTS_AT - startedAt)
       return err({ kind: 'noAnswer', detail: 'the watch was cut' })
     }
     this.#clock.advance(wait)
-    const isGone = this.#clock.now() >= FORGETS_AT && revision < 21
+    const isGone = this.#clock.now() >= COMPACTS_AT && revision < 21
     return isGone ? err({ kind: 'historyGone' }) : ok({ changes: [], revision })
   }
 }
 
 /** Returns when the host receives the configuration, and the requested waits of its watches. */
-async function followForgetfulStore(
+async function followCompactingStore(
   firstChangeAt: number | null,
   isAwaited = false,
 ): Promise<{ readonly at: number; readonly waits: readonly number[] }> {
   const clock = new VirtualClock()
-  const store = new ForgetfulStore(clock, firstChangeAt)
+  const store = new CompactingStore(clock, firstChangeAt)
   const link = {
     list: () => Promise.resolve(store.list()),
     watch: (revision: number, wait: number) => Promise.resolve(store.watch(revision, wait)),
@@ -115,24 +115,24 @@
 
 describe('a change that the store did not report', () => {
   it('is in force within the bound after the watch was cut', async () => {
-    const { at } = await followForgetfulStore(null)
+    const { at } = await followCompactingStore(null)
     expect(at - CHANGE_AT < 4000).toEqual(true)
   })
 
   it('is received soon after the cut, since the next watch is brief', async () => {
-    const { at } = await followForgetfulStore(null)
-    expect(at - FORGETS_AT < 1000).toEqual(true)
+    const { at } = await followCompactingStore(null)
+    expect(at - COMPACTS_AT < 1000).toEqual(true)
   })
 
   // All hosts start while the store is unavailable; the entries of servers expired and return one by one. A host that
   // batched after the first of them made its callers wait a second longer for the primary.
   it('is awaited without a batching pause while callers wait for it', async () => {
-    const { waits } = await followForgetfulStore(1000, true)
+    const { waits } = await followCompactingStore(1000, true)
     expect(waits[1]).toEqual(waits[0])
   })
 
   it('is awaited by a brief watch after a batching pause', async () => {
-    const { waits } = await followForgetfulStore(1000)
+    const { waits } = await followCompactingStore(1000)
     expect((waits[1] ?? 0) < (waits[0] ?? 0)).toEqual(true)
   })
 })
--- a/packages/host/src/configurationHolder.ts
+++ b/packages/host/src/configurationHolder.ts
@@ -9,7 +9,7 @@
 import { Signal } from './waiting.js'
 
 export class ConfigurationHolder {
-  readonly #known = new Signal()
+  readonly #configured = new Signal()
   #configuration: FleetConfiguration | null = null
   #routes = new Map<string, Route>()
   #customers = new CustomerDirectory([])
@@ -26,7 +26,7 @@
     this.#configuration = configuration
     this.#routes = new Map(configuration.routes.map(route => [route.database, route]))
     this.#customers = new CustomerDirectory(configuration.customers)
-    this.#known.raise()
+    this.#configured.raise()
     return true
   }
 
@@ -38,7 +38,7 @@
     return this.#routes.get(database) ?? null
   }
 
-  async whenKnown(span: number): Promise<void> {
-    if (this.#configuration === null) await this.#known.wait(span)
+  async whenConfigured(span: number): Promise<void> {
+    if (this.#configuration === null) await this.#configured.wait(span)
   }
 }
--- a/packages/host/src/entryHost.ts
+++ b/packages/host/src/entryHost.ts
@@ -123,7 +123,7 @@
   }
 
   get isKnown(): boolean {
-    return this.#services.isKnown
+    return this.#services.hasConfiguration
   }
 
   get intake(): SessionIntake {
@@ -155,7 +155,7 @@
   }
 
   whenKnown(span: number): Promise<void> {
-    return this.#services.whenKnown(span)
+    return this.#services.whenConfigured(span)
   }
 
   find(database: string): RoutePlace | null {
--- a/packages/host/src/hostFleet.ts
+++ b/packages/host/src/hostFleet.ts
@@ -31,7 +31,7 @@
 import type { ServiceDesk } from './serviceDesk.js'
 import type { ChangeFeedSources } from './zoneNews.js'
 
-/** Hosts register again within a second of learning that the store was restored, which itself takes longer. */
+/** Hosts register again within a second of learning that the store was restored; learning it takes some more time. */
 const RE_REGISTRATION_MILLISECONDS = 8000
 
 /** Hosts that are tried when this one does not reach a primary, and the pause before they are tried again. */
@@ -178,9 +178,9 @@
     atPrimary: boolean,
   ): RelayPeer[] | null {
     const now = this.#context.clock.now()
-    const isHere = service.isOwned && (!atPrimary || service.reachesPrimary(now))
+    const runsHere = service.isOwned && (!atPrimary || service.reachesPrimary(now))
     const order = this.#hostOrderFor(service, customer)
-    if (isHere) return this.#ownersBefore(order)
+    if (runsHere) return this.#ownersBefore(order)
     const peers = this.#upPeers(order)
     if (service.isOwned) return this.#indirectPeers(service, peers, now)
     if (peers.length > 0) return peers
--- a/packages/host/src/serviceRegistry.ts
+++ b/packages/host/src/serviceRegistry.ts
@@ -84,7 +84,7 @@
     return [...this.#components.values()].every(({ service }) => service.servers.length > 0)
   }
 
-  get isKnown(): boolean {
+  get hasConfiguration(): boolean {
     return this.#configuration.current !== null
   }
 
@@ -123,8 +123,8 @@
     if (!this.#isListed) await this.#listReceived.wait(span)
   }
 
-  whenKnown(span: number): Promise<void> {
-    return this.#configuration.whenKnown(span)
+  whenConfigured(span: number): Promise<void> {
+    return this.#configuration.whenConfigured(span)
   }
 
   find(database: string): ReturnType<RouteLookup['find']> {
@@ -158,7 +158,8 @@
   }
 
   tick(now: Milliseconds, { wasStalled, isStopping }: TickConditions): void {
-    for (const news of this.#directory.expire(now)) this.#applyServerChange(news, now)
+    for (const serverChange of this.#directory.expire(now))
+      this.#applyServerChange(serverChange, now)
     for (const { service, probe, failover } of this.#components.values()) {
       const isActive = service.isActive(now)
       for (const server of service.servers) {
@@ -191,7 +192,8 @@
       changes.flatMap(change => (change.kind === 'record' ? [change.key] : [])),
     )
     for (const change of changes) this.#applyChange(change, since, isRestored)
-    for (const news of this.#directory.keepOnly(listed, now)) this.#applyServerChange(news, now)
+    for (const serverChange of this.#directory.keepOnly(listed, now))
+      this.#applyServerChange(serverChange, now)
     const isHostListed = (host: string): boolean => records.has(hostKey(host))
     if (isRestored) this.#fleet.awaitReRegistration(isHostListed, now)
     else this.#fleet.keepOnly(isHostListed)
@@ -232,15 +234,15 @@
         this.#configure(change.configuration)
         return
       case 'server': {
-        const news = isRestored
+        const serverChange = isRestored
           ? this.#directory.listRestored(change.entry, since)
           : this.#directory.list(change.entry, since)
-        if (news !== null) this.#applyServerChange(news, now)
+        if (serverChange !== null) this.#applyServerChange(serverChange, now)
         return
       }
       case 'serverGone': {
-        const news = this.#directory.unlist(change.server, now)
-        if (news !== null) this.#applyServerChange(news, now)
+        const serverChange = this.#directory.unlist(change.server, now)
+        if (serverChange !== null) this.#applyServerChange(serverChange, now)
         return
       }
       case 'record':
@@ -299,9 +301,9 @@
     return [...this.#components.values()].map(({ service }) => service)
   }
 
-  #applyServerChange(news: DirectoryNews, now: Milliseconds): void {
-    const { entry } = news
-    this.#context.log.write(`server_${news.kind}`, {
+  #applyServerChange(serverChange: DirectoryNews, now: Milliseconds): void {
+    const { entry } = serverChange
+    this.#context.log.write(`server_${serverChange.kind}`, {
       server: entry.server,
       service: entry.service,
       role: entry.role,
@@ -309,12 +311,12 @@
       isLeaving: entry.isLeaving,
     })
     const service = this.#components.get(entry.service)?.service
-    switch (news.kind) {
+    switch (serverChange.kind) {
       case 'appeared':
         service?.appeared(entry, now)
         return
       case 'changed':
-        service?.changedEntry(entry, news.before, now)
+        service?.changedEntry(entry, serverChange.before, now)
         return
       case 'unlisted':
         service?.changed.raise()
