--- a/packages/host/src/failoverController.ts
+++ b/packages/host/src/failoverController.ts
@@ -65,7 +65,7 @@
   readonly #promotion: PromotionPort
   readonly #observers: () => readonly string[]
   readonly #suspicion = new PrimarySuspicion()
-  readonly #commands: GroupOrderSender
+  readonly #orders: GroupOrderSender
   readonly #claims: PrimaryClaims
   #changeRecord: StoredChangeRecord | null = null
   /** When another host's claim ended without a record that the change was done. */
@@ -88,7 +88,7 @@
     this.#store = store
     this.#promotion = promotion
     this.#observers = observers
-    this.#commands = new GroupOrderSender(context, service)
+    this.#orders = new GroupOrderSender(context, service)
     this.#claims = new PrimaryClaims(context, store, service.name, (value, revision) => {
       this.receiveChangeRecord(value, revision)
     })
@@ -243,7 +243,7 @@
         replicas: this.#replicas(oldPrimary),
         synchronousReplicas: this.#service.configuration.synchronousReplicas,
       },
-      this.#commands,
+      this.#orders,
     )
     const chosen = await choice.choose()
     if (chosen.isErr()) {
@@ -296,7 +296,7 @@
     const { clock } = this.#context
     const limit = addMilliseconds(clock.now(), PROMOTION_EFFECT_LIMIT_MILLISECONDS)
     while (clock.now() < limit) {
-      const report = await this.#commands.report(server)
+      const report = await this.#orders.report(server)
       if (report?.role === 'primary') {
         this.#service.toldToLead(server, clock.now())
         await this.#resumePaused(server)
@@ -316,9 +316,9 @@
     const others = this.#replicas(primary)
     await Promise.all(
       others.map(async ({ server }) => {
-        const report = await this.#commands.report(server)
+        const report = await this.#orders.report(server)
         if (report === null || report.pausedFor === 0) return
-        const resumed = await this.#commands.resume(server)
+        const resumed = await this.#orders.resume(server)
         this.#context.log.write('replica_resumed', {
           service: this.#service.name,
           server,
