--- a/packages/host/src/storeFollower.ts
+++ b/packages/host/src/storeFollower.ts
@@ -173,8 +173,8 @@
       if (received !== null) return this.#takeFromHost(received)
       this.#isContinuous = false
     }
-    const { storeWatch: watch, forwardingWatch: toldOnWatch, firstWatch, answer } = this.#budget
-    const longest = this.#changeFeed.server.hasReaders ? toldOnWatch : watch
+    const { storeWatch, forwardingWatch, firstWatch, answer } = this.#budget
+    const longest = this.#changeFeed.server.hasReaders ? forwardingWatch : storeWatch
     const wait = this.#isContinuous ? longest : firstWatch
     const limit = { begin: wait + answer, pause: PAUSE_LIMIT_MILLISECONDS }
     const events = await this.#store.watch(revision, wait, limit)
@@ -251,8 +251,7 @@
 
   /** A host cannot serve callers before its first list, so it retries more often until then. */
   get #longestRetryDelay(): number {
-    const { longestRetryDelay: longestPause, longestInitialRetryDelay: longestBlindPause } =
-      this.#budget
-    return this.#knownAt === null ? longestBlindPause : longestPause
+    const { longestRetryDelay, longestInitialRetryDelay } = this.#budget
+    return this.#knownAt === null ? longestInitialRetryDelay : longestRetryDelay
   }
 }
