--- a/packages/host/__tests__/newsBudget.spec.ts
+++ b/packages/host/__tests__/newsBudget.spec.ts
@@ -11,35 +11,36 @@
   StoreLink,
 } from '@nutmegcourse/protocol'
 import type { Result } from 'neverthrow'
-import { longestWayOfNews, newsBudget } from '../src/newsBudget.js'
+import { changeDelayBudget, worstCaseChangeDelay } from '../src/newsBudget.js'
 import { StoreFollower } from '../src/storeFollower.js'
-import { exchangeWith, followerContext } from './support/followerContext.js'
+import { changeFeedWith, followerContext } from './support/followerContext.js'
 
-describe('how long news may take in all', () => {
+describe('the worst-case delay of a change', () => {
   const bounds: readonly (readonly [number, string])[] = [
-    [4000, 'the least bound that is known'],
-    [6000, 'a longer one'],
-    [13_000, 'that of the largest fleet'],
+    [4000, 'the shortest known bound'],
+    [6000, 'a longer bound'],
+    [13_000, 'the bound of the largest fleet'],
   ]
   for (const [bound, name] of bounds) {
     it(`stays within ${name}`, () => {
-      expect(longestWayOfNews(newsBudget(bound)) <= bound).toEqual(true)
+      expect(worstCaseChangeDelay(changeDelayBudget(bound)) <= bound).toEqual(true)
     })
   }
 
-  it('waits long where the bound allows it, since each watch that ends is a call', () => {
-    expect(newsBudget(13_000).watch).toEqual(5000)
+  // Each watch that ends costs a call.
+  it('allows long watches under a long bound', () => {
+    expect(changeDelayBudget(13_000).storeWatch).toEqual(5000)
   })
 })
 
-// A new route is told to a host four seconds late, and its callers hear that there is no such
-// database. The store was about to forget its history: it told nobody of the change, cut all
-// watches a second later, and accepted the next watch of some hosts although the change that it had
-// to begin with was gone. Such a watch is silent to its end.
+// A host received a new route four seconds late, and refused its callers because the database was unknown to it. The
+// store was about to compact its history: it reported the change to no host, cut all watches a second later, and
+// accepted the next watch of some hosts although the change to begin with was gone. Such a watch reports nothing
+// until its end.
 
-/** When the store does what, in milliseconds. */
+/** When the store makes the change and when it compacts its history, in milliseconds. */
 const CHANGE_AT = 1100
-const FORGETS_AT = 2200
+const COMPACTS_AT = 2200
 
 const CONFIGURATION: FleetConfiguration = {
   version: 7,
@@ -49,11 +50,11 @@
   idleTransactionMilliseconds: 3000,
 }
 
-/** A store in virtual time that forgets its history once, and says so only when a watch ends. */
-class ForgetfulStore {
+/** A store in virtual time that compacts its history once, and reports it only at the end of a watch. */
+class CompactingStore {
   readonly waits: number[] = []
   readonly #clock: VirtualClock
-  /** A change that nobody waits for ends the first watch, so that the host rests before the next. */
+  /** When a change that no caller waits for ends the first watch, so that the host pauses before the next. */
   readonly #firstChangeAt: number | null
 
   constructor(clock: VirtualClock, firstChangeAt: number | null) {
@@ -77,62 +78,61 @@
       this.#clock.advance(first - startedAt)
       return ok({ changes: [{ kind: 'unreadable', key: 'x', detail: '', revision }], revision })
     }
-    if (startedAt < FORGETS_AT && startedAt + wait >= FORGETS_AT) {
-      this.#clock.advance(FORGETS_AT - startedAt)
+    if (startedAt < COMPACTS_AT && startedAt + wait >= COMPACTS_AT) {
+      this.#clock.advance(COMPACTS_AT - startedAt)
       return err({ kind: 'noAnswer', detail: 'the watch was cut' })
     }
     this.#clock.advance(wait)
-    const isGone = this.#clock.now() >= FORGETS_AT && revision < 21
+    const isGone = this.#clock.now() >= COMPACTS_AT && revision < 21
     return isGone ? err({ kind: 'historyGone' }) : ok({ changes: [], revision })
   }
 }
 
-/** When the host takes the configuration, and how long its watches were to wait. */
-async function hear(
+/** Returns when the host receives the configuration, and the requested waits of its watches. */
+async function followCompactingStore(
   firstChangeAt: number | null,
   isAwaited = false,
 ): Promise<{ readonly at: number; readonly waits: readonly number[] }> {
   const clock = new VirtualClock()
-  const store = new ForgetfulStore(clock, firstChangeAt)
+  const store = new CompactingStore(clock, firstChangeAt)
   const link = {
     list: () => Promise.resolve(store.list()),
     watch: (revision: number, wait: number) => Promise.resolve(store.watch(revision, wait)),
     close: () => undefined,
   } as unknown as StoreLink
   return new Promise(resolve => {
-    const heard = (changes: readonly DirectoryChange[]): void => {
+    const takeChanges = (changes: readonly DirectoryChange[]): void => {
       if (!changes.some(change => change.kind === 'configuration')) return
       follower.stop()
       resolve({ at: clock.now(), waits: store.waits })
     }
     const context = followerContext(clock)
-    const listener = { heard, listed: heard, isUrgent: () => false, isAwaited }
-    const follower = new StoreFollower(context, link, listener, exchangeWith(context))
+    const listener = { takeChanges, takeList: takeChanges, isUrgent: () => false, isAwaited }
+    const follower = new StoreFollower(context, link, listener, changeFeedWith(context))
     void follower.run()
   })
 }
 
-describe('a change that the store told nobody of', () => {
-  it('is in force in time after the watch was cut', async () => {
-    const { at } = await hear(null)
+describe('a change that the store did not report', () => {
+  it('is in force within the bound after the watch was cut', async () => {
+    const { at } = await followCompactingStore(null)
     expect(at - CHANGE_AT < 4000).toEqual(true)
   })
 
-  it('is looked for soon after the cut: the next watch is brief', async () => {
-    const { at } = await hear(null)
-    expect(at - FORGETS_AT < 1000).toEqual(true)
+  it('is received soon after the cut, since the next watch is brief', async () => {
+    const { at } = await followCompactingStore(null)
+    expect(at - COMPACTS_AT < 1000).toEqual(true)
   })
 
-  // All hosts start while the store is away; the servers' entries lapsed and come back one by one.
-  // After the first of them a host let the others gather, and its callers waited a second more for
-  // the primary.
-  it('is waited for without a rest while callers wait for it', async () => {
-    const { waits } = await hear(1000, true)
+  // All hosts start while the store is unavailable; the entries of servers expired and return one by one. A host that
+  // batched after the first of them made its callers wait a second longer for the primary.
+  it('is awaited without a batching pause while callers wait for it', async () => {
+    const { waits } = await followCompactingStore(1000, true)
     expect(waits[1]).toEqual(waits[0])
   })
 
-  it('is looked for soon after a rest between two watches', async () => {
-    const { waits } = await hear(1000)
+  it('is awaited by a brief watch after a batching pause', async () => {
+    const { waits } = await followCompactingStore(1000)
     expect((waits[1] ?? 0) < (waits[0] ?? 0)).toEqual(true)
   })
 })
--- a/packages/host/__tests__/storeFollower.spec.ts
+++ b/packages/host/__tests__/storeFollower.spec.ts
@@ -15,12 +15,12 @@
   StoreLink,
 } from '@nutmegcourse/protocol'
 import { StoreFollower } from '../src/storeFollower.js'
-import { exchangeWith, followerContext } from './support/followerContext.js'
+import { changeFeedWith, followerContext } from './support/followerContext.js'
 
-// One host is cut off from the store for four seconds. Meanwhile a backend server says that it leaves, which
-// the host hears two seconds late; it counted the server's time from then, and gave it new work after the
-// time was over, when the server may be gone and another stand at its address. What is heard
-// after a failure may have been so since the last answer before it.
+// One host is cut off from the store for four seconds. Meanwhile a backend server announces that it is leaving, which
+// the host receives two seconds late. The host counted the server's remaining time from then, and sent it new work
+// after the time was over, when the server may be gone and another one may use its address. A change received after a
+// failure may be as old as the last response before the failure.
 
 const LEAVING: RevisedChange = {
   kind: 'server',
@@ -40,7 +40,7 @@
 
 type Answer = DirectoryEvents | StoreFailure
 
-/** What one call of the store gives, and how long it takes. */
+/** The result of one call to the store, and its duration in milliseconds. */
 interface Step {
   readonly call: 'list' | 'watch'
   readonly takes: number
@@ -49,12 +49,12 @@
 
 const EMPTY: Answer = { changes: [], revision: 1 }
 const CHANGE: Answer = { changes: [LEAVING], revision: 2 }
-const CUT: Answer = { kind: 'noAnswer', detail: 'cut off' }
+const UNANSWERED: Answer = { kind: 'noAnswer', detail: 'cut off' }
 const GONE: Answer = { kind: 'historyGone' }
 
 const CASES: readonly (readonly [string, readonly Step[], number])[] = [
   [
-    'a watch that waited: now',
+    'received by a watch that waited is counted from now',
     [
       { call: 'list', takes: 10, answer: EMPTY },
       { call: 'watch', takes: 3000, answer: CHANGE },
@@ -62,17 +62,17 @@
     3010,
   ],
   [
-    'a watch after one that failed: when the store last answered',
+    'received after a failed watch is counted from the last response of the store',
     [
       { call: 'list', takes: 10, answer: EMPTY },
       { call: 'watch', takes: 500, answer: EMPTY },
-      { call: 'watch', takes: 6500, answer: CUT },
+      { call: 'watch', takes: 6500, answer: UNANSWERED },
       { call: 'watch', takes: 10, answer: CHANGE },
     ],
     510,
   ],
   [
-    'a list after the history was gone: when the store last answered',
+    'listed after the history was compacted is counted from the last response of the store',
     [
       { call: 'list', takes: 10, answer: EMPTY },
       { call: 'watch', takes: 500, answer: EMPTY },
@@ -81,10 +81,14 @@
     ],
     510,
   ],
-  ['the first list: when it was asked for', [{ call: 'list', takes: 10, answer: CHANGE }], 0],
+  [
+    'of the first list is counted from the request for it',
+    [{ call: 'list', takes: 10, answer: CHANGE }],
+    0,
+  ],
 ]
 
-async function hearSince(steps: readonly Step[]): Promise<number> {
+async function earliestChangeTime(steps: readonly Step[]): Promise<number> {
   const clock = new VirtualClock()
   const left = [...steps]
   const next = (call: Step['call']): Promise<Answer> => {
@@ -106,20 +110,20 @@
     close: () => undefined,
   } as unknown as StoreLink
   return new Promise(resolve => {
-    const hear = (changes: readonly DirectoryChange[], since: Milliseconds): void => {
+    const takeChanges = (changes: readonly DirectoryChange[], since: Milliseconds): void => {
       if (changes.includes(LEAVING)) resolve(since)
     }
     const context = followerContext(clock)
-    const listener = { heard: hear, listed: hear, isUrgent: () => true, isAwaited: false }
-    const follower = new StoreFollower(context, store, listener, exchangeWith(context))
+    const listener = { takeChanges, takeList: takeChanges, isUrgent: () => true, isAwaited: false }
+    const follower = new StoreFollower(context, store, listener, changeFeedWith(context))
     void follower.run()
   })
 }
 
-describe('a change of the store may be as old as', () => {
+describe('a change', () => {
   for (const [name, steps, since] of CASES) {
     it(name, async () => {
-      expect(await hearSince(steps)).toEqual(since)
+      expect(await earliestChangeTime(steps)).toEqual(since)
     })
   }
 })
--- a/packages/host/__tests__/storeRestored.spec.ts
+++ b/packages/host/__tests__/storeRestored.spec.ts
@@ -10,16 +10,16 @@
 const linesOf = (hosts: readonly SceneHost[], event: string) =>
   hosts.flatMap(({ lines }) => lines.filter(line => line.event === event))
 
-const haveHeard = (scene: Scene, hosts: readonly SceneHost[]): Promise<void> =>
+const untilRestoreKnown = (scene: Scene, hosts: readonly SceneHost[]): Promise<void> =>
   scene.until(
     () => hosts.every(({ lines }) => lines.some(({ event }) => event === 'store_restored')),
     'every host knows that the store was restored',
   )
 
-describe('hosts whose store came back from an older copy', () => {
-  // The copy is older than the hosts. Those that heard first took the others for gone, planned the connections anew,
-  // and again as each came back.
-  it('register again, and take each other for gone no sooner', async () => {
+describe('hosts whose store was restored from an older copy', () => {
+  // The copy is older than the hosts' records. The first hosts to learn of the restore considered the others gone, and
+  // planned the connections again, once more as each of them returned.
+  it('register again without considering each other gone', async () => {
     const options = { relayPorts: await freePorts(4), connectionLimit: 12 }
     await inScene(
       4,
@@ -31,7 +31,7 @@
         await rest(1200)
         const planned = linesOf(hosts, 'owners_planned').length
         scene.store.restore(older)
-        await haveHeard(scene, hosts)
+        await untilRestoreKnown(scene, hosts)
         await scene.until(isAll, 'all hosts are registered again', 4000)
         expect(linesOf(hosts, 'owners_planned').length).toEqual(planned)
       },
@@ -39,7 +39,7 @@
     )
   })
 
-  it('go on with the newest configuration that they have acted on', async () => {
+  it('keep the newest configuration that they had in force', async () => {
     await inScene(2, async (scene, hosts) => {
       const copy = scene.store.copy()
       scene.configure({ version: 2, routes: CONFIGURATION.routes.slice(0, 1) })
@@ -47,16 +47,16 @@
       const isTaken = ({ host }: SceneHost): boolean => host.find('own') === null
       await scene.until(() => hosts.every(isTaken), 'the route is gone')
       scene.store.restore(copy)
-      await haveHeard(scene, hosts)
+      await untilRestoreKnown(scene, hosts)
       await rest(200)
       expect(hosts.every(isTaken)).toEqual(true)
       expect(hosts.every(({ host }) => host.find(left?.database ?? '') !== null)).toEqual(true)
     })
   })
 
-  // A holder is in the middle of its change when the store loses its claim. Another host that claimed at once would
-  // order beside it.
-  it('claim nothing anew while the holder of a lost claim may still act', async () => {
+  // The store loses a claim while its holder changes the primary. Another host that claimed the change at once would
+  // send orders concurrently.
+  it('make no new claim while the holder of a lost claim may still act', async () => {
     await inScene(3, async (scene, hosts) => {
       const copy = scene.store.copy()
       scene.promotionFault = () => 'noAnswer'
@@ -64,7 +64,7 @@
       const claims = () => linesOf(hosts, 'change_claimed')
       await scene.until(() => claims().length === 1, 'a host claims the change')
       scene.store.restore(copy)
-      await haveHeard(scene, hosts)
+      await untilRestoreKnown(scene, hosts)
       await rest(3000)
       expect(claims().length).toEqual(1)
       scene.promotionFault = () => 'none'
@@ -76,8 +76,9 @@
     })
   })
 
-  // A replica has said that it leaves; the copy does not know. It was given work again until it said so once more.
-  it('leave alone a server that had said that it leaves', async () => {
+  // A replica has announced that it is leaving, after the copy was made. It received work again until it repeated the
+  // announcement.
+  it('send no work to a server that had announced that it is leaving', async () => {
     await inScene(1, async (scene, [host]) => {
       const copy = scene.store.copy()
       scene.list(A, { isLeaving: true })
@@ -85,7 +86,7 @@
         host?.lines.some(({ fields }) => fields.server === A && fields.isLeaving === true) ?? false
       await scene.until(left, 'the host knows that it leaves')
       scene.store.restore(copy)
-      await haveHeard(scene, scene.hosts)
+      await untilRestoreKnown(scene, scene.hosts)
       const later = host?.lines.filter(
         ({ event, fields }) => event === 'server_changed' && fields.isLeaving === false,
       )
@@ -94,9 +95,9 @@
   })
 })
 
-describe('a host that stopped', () => {
-  // A wait for news of a restored store went on for minutes after the stop, and the process with it.
-  it('leaves no timer behind that keeps its process alive', async () => {
+describe('a stopped host', () => {
+  // A timer that waited for a restore of the store kept the process alive for minutes after the stop.
+  it('leaves no timer that keeps its process alive', async () => {
     const timers = (): number =>
       process.getActiveResourcesInfo().filter(each => each === 'Timeout').length
     const before = timers()
--- a/packages/host/src/configurationBook.ts
+++ b/packages/host/src/configurationHolder.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' newest configuration. Versions only grow: whatever answer comes late, a host never
- * goes back in one life.
+ * Holds the newest configuration of the operators. Versions only increase: a late response never makes a running
+ * host return to an older one.
  *
  * @internal
  */
@@ -8,8 +8,8 @@
 import { CustomerDirectory } from '@nutmegcourse/state'
 import { Signal } from './waiting.js'
 
-export class ConfigurationBook {
-  readonly #known = new Signal()
+export class ConfigurationHolder {
+  readonly #configured = new Signal()
   #configuration: FleetConfiguration | null = null
   #routes = new Map<string, Route>()
   #customers = new CustomerDirectory([])
@@ -18,15 +18,15 @@
     return this.#configuration
   }
 
-  /** False when it is not newer. */
-  take(configuration: FleetConfiguration): boolean {
+  /** Puts a newer configuration in force; returns false for one that is not newer. */
+  replace(configuration: FleetConfiguration): boolean {
     if (this.#configuration !== null && configuration.version <= this.#configuration.version) {
       return false
     }
     this.#configuration = configuration
     this.#routes = new Map(configuration.routes.map(route => [route.database, route]))
     this.#customers = new CustomerDirectory(configuration.customers)
-    this.#known.raise()
+    this.#configured.raise()
     return true
   }
 
@@ -38,7 +38,7 @@
     return this.#routes.get(database) ?? null
   }
 
-  async whenKnown(span: number): Promise<void> {
-    if (this.#configuration === null) await this.#known.wait(span)
+  async whenConfigured(span: number): Promise<void> {
+    if (this.#configuration === null) await this.#configured.wait(span)
   }
 }
--- a/packages/host/src/entryHost.ts
+++ b/packages/host/src/entryHost.ts
@@ -1,4 +1,4 @@
-/** One entry host: takes callers, follows the store, and keeps the services it needs in order. */
+/** One entry host: accepts callers, follows the store, and manages the services that it works with. */
 import { createServer, type Server, type Socket } from 'node:net'
 import type {
   Clock,
@@ -29,13 +29,13 @@
 import { RelayServer, type RelayDesks } from './relayServer.js'
 import { RelayingRunner } from './relayingRunner.js'
 import type { CallerIdentity, RouteLookup, RoutePlace } from './routeLookup.js'
-import { ServiceBook } from './serviceBook.js'
+import { ServiceRegistry } from './serviceRegistry.js'
 import type { ServiceDesk } from './serviceDesk.js'
 import { StatementRunner } from './statementRunner.js'
 import { StoreFollower } from './storeFollower.js'
-import { ZoneNews } from './zoneNews.js'
+import { ChangeFeedReader } from './zoneNews.js'
 
-/** What an entry host reaches the world through. */
+/** The outside systems that an entry host uses. */
 export interface EntryHostPorts {
   readonly dialer: BackendDialer
   readonly store: StoreLink
@@ -43,15 +43,15 @@
   callerLink(socket: Socket): CallerLink
 }
 
-/** Everything that is due by time is looked at this often while some server or host owes an answer. */
+/** Interval of the timer that checks deadlines while an answer of a server or host is outstanding. */
 const TICK_MILLISECONDS = 25
 
 /**
- * While none does. At rest a tick is most of what a host spends: 100 instead of 25 halves its
- * processor time (18 to 9 ms a second, one run). The shortest limit that only a tick notices, the silence
- * of a server, begins with an answer owed, and then the tick is short within this span.
+ * Interval while none is outstanding. Ticks are most of the processor time of an idle host: 100 instead of 25
+ * halves it (18 to 9 ms a second, one run). The shortest limit that only a tick detects, the silence of a server,
+ * starts with an outstanding answer, and the short interval applies at the latest after this time.
  */
-const REST_TICK_MILLISECONDS = 100
+const IDLE_TICK_MILLISECONDS = 100
 
 /** Connections that may wait to be accepted. */
 const BACKLOG = 1024
@@ -64,7 +64,7 @@
   readonly #context: HostContext
   readonly #ports: EntryHostPorts
   readonly #fleet: HostFleet
-  readonly #services: ServiceBook
+  readonly #services: ServiceRegistry
   readonly #customerLimits: CustomerLimits
   readonly #sessions = new Set<CallerSession>()
   readonly #runner: RelayingRunner
@@ -75,7 +75,7 @@
   #timer: NodeJS.Timeout | null = null
   #lastTick: Milliseconds
   #stopping: PlannedStop | null = null
-  #stopped: Promise<void> | null = null
+  #stopResult: Promise<void> | null = null
   #isClosed = false
 
   constructor(
@@ -91,7 +91,7 @@
     this.#lastTick = clock.now()
     this.#fleet = new HostFleet(this.#context)
     this.news = new NewsDesk(this.#context)
-    this.#services = new ServiceBook(this.#context, ports, this.#fleet, this.news, () => {
+    this.#services = new ServiceRegistry(this.#context, ports, this.#fleet, this.news, () => {
       this.#registration.storeRestored()
     })
     const plan = {
@@ -105,15 +105,15 @@
     this.#runner = new RelayingRunner(this.#context, runner, this.#fleet)
     this.#relay = new RelayServer(this.#context, runner, this)
     this.#follower = new StoreFollower(this.#context, ports.store, this.#services, {
-      zone: new ZoneNews(this.#context, this.#fleet),
-      desk: this.news,
+      reader: new ChangeFeedReader(this.#context, this.#fleet),
+      server: this.news,
     })
     this.#registration = new HostRegistration(this.#context, ports.store, this.#services, () => {
       this.limits.joined()
     })
   }
 
-  /** Whether new callers are welcome: it can tell where their work goes. */
+  /** Whether new callers should be sent here: the host is not stopping and can route their statements. */
   get isReady(): boolean {
     return this.#stopping === null && this.#services.isServable
   }
@@ -123,7 +123,7 @@
   }
 
   get isKnown(): boolean {
-    return this.#services.isKnown
+    return this.#services.hasConfiguration
   }
 
   get intake(): SessionIntake {
@@ -155,7 +155,7 @@
   }
 
   whenKnown(span: number): Promise<void> {
-    return this.#services.whenKnown(span)
+    return this.#services.whenConfigured(span)
   }
 
   find(database: string): RoutePlace | null {
@@ -167,7 +167,7 @@
     return identity.kind === 'customer' && this.#mayHaveMissedRevocation ? UNCONFIRMED : identity
   }
 
-  /** Only where the settings ask for it: a key that may have been taken away unheard is not served. */
+  /** With strict revocation, keys are not served once this host may have missed their revocation. */
   get #mayHaveMissedRevocation(): boolean {
     const { clock, settings } = this.#context
     const { isStrict, withinMilliseconds } = settings.revocation
@@ -178,33 +178,33 @@
     return this.#customerLimits.admit(customer)
   }
 
-  serve(service: string): ServiceDesk | null {
+  serve(name: string): ServiceDesk | null {
     if (this.#stopping !== null) return null
-    const desk = this.#services.desk(service) ?? null
-    if (desk !== null && !desk.isOwned) desk.standIn(this.#context.clock.now())
-    return desk
+    const service = this.#services.service(name) ?? null
+    if (service !== null && !service.isOwned) service.standIn(this.#context.clock.now())
+    return service
   }
 
-  /** Follows the store and its backend servers; callers come with `listen` or `admit`. */
+  /** Starts following the store and backend servers; callers are accepted by `listen` or `admit`. */
   start(): void {
     const { relay } = this.#context.settings
     if (relay !== null) this.#relay.listen(relay.host, relay.port)
-    this.#tickAfter(REST_TICK_MILLISECONDS)
+    this.#tickAfter(IDLE_TICK_MILLISECONDS)
     void this.#follower.run()
     void this.#registration.run()
   }
 
-  /** Takes callers; `failed` hears why this host can not. */
-  listen(failed: (error: Error) => void): void {
+  /** Accepts callers; calls `onError` if the port cannot be listened on. */
+  listen(onError: (error: Error) => void): void {
     const { host, port } = this.#context.settings.callers
     this.#server = createServer({ allowHalfOpen: true }, socket => {
       this.admit(this.#ports.callerLink(socket))
     })
-    this.#server.on('error', failed)
+    this.#server.on('error', onError)
     this.#server.listen({ host, port, backlog: BACKLOG })
   }
 
-  /** Takes one caller. */
+  /** Starts a session for one caller. */
   admit(link: CallerLink): void {
     const session = new CallerSession(this.#context, link, this, this.#runner, ended => {
       this.#sessions.delete(ended)
@@ -213,25 +213,25 @@
   }
 
   /**
-   * Takes no new work, lets what runs end, and resolves when the process may exit. A second call, as a
-   * second signal makes it, waits for the same end: it must not cut what the first still waits for.
+   * Accepts no new work, lets running work end, and resolves when the process may exit. A second call, made by a
+   * second signal, waits for the same stop and must not cut the work that the first one waits for.
    */
   stop(): Promise<void> {
-    this.#stopped ??= this.#runStop()
-    return this.#stopped
+    this.#stopResult ??= this.#runStop()
+    return this.#stopResult
   }
 
   async #runStop(): Promise<void> {
     this.#stopping = new PlannedStop(this.#context, this)
     void this.#registration.withdraw()
     this.#relay.leave()
-    this.news.leave()
+    this.news.stop()
     this.limits.leave()
     await this.#stopping.run()
     this.close()
   }
 
-  /** Drops everything at once, as the end of the process would. */
+  /** Closes everything at once, as the end of the process would. */
   close(): void {
     this.#isClosed = true
     if (this.#timer !== null) clearTimeout(this.#timer)
@@ -246,24 +246,24 @@
     if (this.#isClosed) return
     this.#timer = setTimeout(() => {
       this.#tick()
-      this.#tickAfter(this.#isOwedAnswers ? TICK_MILLISECONDS : REST_TICK_MILLISECONDS)
+      this.#tickAfter(this.#hasPendingWork ? TICK_MILLISECONDS : IDLE_TICK_MILLISECONDS)
     }, span)
   }
 
-  /** Whether something that a tick watches is under way: a statement, a question, a change. */
-  get #isOwedAnswers(): boolean {
-    return this.#fleet.isOwedAnswers || this.#services.isOwedAnswers
+  /** Whether work that ticks supervise is under way: a statement, a probe or a change of primary. */
+  get #hasPendingWork(): boolean {
+    return this.#fleet.hasPendingWork || this.#services.hasPendingWork
   }
 
   #tick(): void {
     const now = this.#context.clock.now()
     const sinceTick = now - this.#lastTick
-    const wasStandingStill = sinceTick > STANDSTILL_MILLISECONDS
-    if (wasStandingStill) {
+    const wasStalled = sinceTick > STANDSTILL_MILLISECONDS
+    if (wasStalled) {
       this.#context.log.write('stood_still', { milliseconds: Math.round(sinceTick) })
     }
     this.#lastTick = now
     if (this.#fleet.tick(now)) this.#services.planOwners()
-    this.#services.tick(now, { wasStandingStill, isStopping: this.#stopping !== null })
+    this.#services.tick(now, { wasStalled, isStopping: this.#stopping !== null })
   }
 }
--- a/packages/host/src/main.ts
+++ b/packages/host/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The entry host's process. */
+/** Entry point of the process of an entry host. */
 import { parseArgs } from 'node:util'
 import { createLog, openStandardOutput } from '@nutmegcourse/observability'
 import {
@@ -18,12 +18,13 @@
 import { EntryHost } from './entryHost.js'
 
 const EXIT_BAD_SETTINGS = 2
-/** A port of the settings can not be listened at. Whoever started the process may try again. */
+/** A configured port cannot be listened on, perhaps only for now: a supervisor may start the process again. */
 const EXIT_NOT_LISTENING = 3
 
-/** Where the settings name no place for promotions, none is ordered. */
-const NO_PROMOTION: PromotionPort = {
-  promote: () => Promise.resolve({ kind: 'unavailable', detail: 'no address in the settings' }),
+/** Stands in where the settings contain no address for promotions: none is ordered. */
+const PROMOTION_UNAVAILABLE: PromotionPort = {
+  promote: () =>
+    Promise.resolve({ kind: 'unavailable', detail: 'no promotion address in the settings' }),
 }
 
 function run(settings: HostSettings, path: string): void {
@@ -42,7 +43,9 @@
       dialer: new LineBackendDialer(),
       store: new StoreCalls(settings.store),
       promotion:
-        settings.promotion === null ? NO_PROMOTION : new PromotionCalls(settings.promotion),
+        settings.promotion === null
+          ? PROMOTION_UNAVAILABLE
+          : new PromotionCalls(settings.promotion),
       callerLink: socket => new LineCallerLink(socket),
     },
     log,
@@ -51,13 +54,13 @@
     new SystemRandom(),
   )
   metrics.gauge('sessions', () => host.sessions.size)
-  const notListening = (what: string, isVital: boolean) => (error: Error) => {
+  const notListening = (what: string, isRequired: boolean) => (error: Error) => {
     log.write('not_listening', { what, detail: error.message })
-    if (isVital) process.exit(EXIT_NOT_LISTENING)
+    if (isRequired) process.exit(EXIT_NOT_LISTENING)
   }
   host.start()
   host.listen(notListening('callers', true))
-  const metricsAddress = metricsPlace(settings)
+  const metricsAddress = metricsListenAddress(settings)
   if (metricsAddress !== null) {
     serveMetrics(metricsAddress, metrics).on('error', notListening('metrics', false))
   }
@@ -67,7 +70,8 @@
   )
   log.write('started', { settings: path })
   process.on('SIGHUP', () => {
-    // What could change while it runs comes from the store; the rest takes effect at the next start.
+    // The file is only validated: its settings take effect at the next start, and dynamic configuration comes from
+    // the store.
     const read = readSettingsFile(path)
     log.write('reloaded', { mistakes: read.isErr() ? read.error : [] })
   })
@@ -80,8 +84,8 @@
   })
 }
 
-/** `--metrics-port` goes before the settings, which name a port that differs from day to day. */
-function metricsPlace(settings: HostSettings): HostAddress | null {
+/** `--metrics-port` takes precedence over the settings, whose port differs from day to day. */
+function metricsListenAddress(settings: HostSettings): HostAddress | null {
   const { values } = parseArgs({ options: { 'metrics-port': { type: 'string' } } })
   const port = Number(values['metrics-port'])
   const isPort = Number.isInteger(port) && port > 0 && port < 65_536
@@ -90,7 +94,7 @@
 
 const path = settingsPath(process.env)
 if (path === null) {
-  console.error('no settings file is named')
+  console.error('no settings file given')
   process.exit(EXIT_BAD_SETTINGS)
 }
 const settings = readSettingsFile(path)
--- a/packages/host/src/newsBudget.ts
+++ b/packages/host/src/newsBudget.ts
@@ -1,123 +1,122 @@
 /**
- * How long news from the store may take to reach this host, in all. A configuration has to be in force
- * everywhere within the time that the deployment's settings give; the spans below are its parts.
+ * Divides the time within which a change of the store must reach this host into the waits and timeouts of
+ * watches. A configuration has to be in force everywhere within a bound given by the deployment's settings.
  *
  * @internal
  */
 import { LONGEST_DRAW } from '@nutmegcourse/shared'
 
 /** Spans in milliseconds. */
-export interface NewsBudget {
-  /** How long one watch waits for a change. A connection that went silent shows only after it. */
-  readonly watch: number
-  /** The same where other hosts follow through this one: what it hears late they hear later. */
-  readonly toldOnWatch: number
-  /** How long a watch waits at another host of the zone. That it is dead or frozen shows only after it. */
+export interface ChangeDelayBudget {
+  /** How long one watch waits for a change. A silent connection is detected only afterwards. */
+  readonly storeWatch: number
+  /** The same where other hosts follow through this one: its delay adds to theirs. */
+  readonly forwardingWatch: number
+  /** How long a watch waits at another host of the zone. A dead or paused host is detected only afterwards. */
   readonly zoneWatch: number
   /**
-   * How long the first watch waits after a pause or a failure. The store may have forgotten what this host
-   * did not hear meanwhile, and says so only when a watch begins or ends.
+   * How long the first watch waits after a pause or a failure. Meanwhile the store may have compacted changes
+   * that this host missed, which it reports only when a watch begins or ends.
    */
   readonly firstWatch: number
-  /** Beyond the wait, what the store's answer may take when it is slow. */
+  /** Time beyond the wait that a slow store may take to begin its response. */
   readonly answer: number
-  /** Other changes gather for so long after one that nobody waits for. */
-  readonly gather: number
-  /** Between two tries while the store is away; grows from the first to the second. */
-  readonly shortestPause: number
-  readonly longestPause: number
-  /** The longest while this host knows nothing at all. */
-  readonly longestBlindPause: number
+  /** How long further changes are batched after one that no caller waits for. */
+  readonly batch: number
+  /** Delay between two attempts while the store is unavailable; grows from the shortest to the longest. */
+  readonly shortestRetryDelay: number
+  readonly longestRetryDelay: number
+  /** The longest delay before this host's first list. */
+  readonly longestInitialRetryDelay: number
 }
 
-/** Each watch that ends is a call, so none ends sooner than this without need ... */
+/** Each watch that ends costs a call, so watches last this long where the bound allows it. */
 const LONGEST_WATCH_MILLISECONDS = 5000
-/** ... and none is so short that hosts at rest would press the store: one call a second each. */
+/** Keeps idle hosts from overloading the store: at most one call a second each. */
 const SHORTEST_WATCH_MILLISECONDS = 1000
 
 /**
- * The part of the bound that an answer may take to begin. Of 4 s it is nearly twice what a slow
- * store takes (60 times its usual 4 ms) with a round trip past the link; larger fleets have longer
- * bounds, and fuller links.
+ * Share of the bound that a response may take to begin. For a bound of 4 s it is nearly twice what a slow
+ * store takes (60 times its usual 4 ms) with a round trip over the link; larger fleets have longer bounds
+ * and busier links.
  */
 const ANSWER_SHARE = 1 / 8
 const LONGEST_ANSWER_MILLISECONDS = 1500
 
-/** A round trip past the link, and the store's answer; longer would only delay what was missed. */
+/** Covers a round trip over the link and the store's response; more would only delay missed changes. */
 const FIRST_WATCH_MILLISECONDS = 300
 
 /**
- * Each change ends the watch of every host, and when many hosts or servers start that makes as many
- * calls as changes times hosts. On a start of 65 hosts before 18 servers half a second saves two calls
- * in three.
+ * Each change ends the watch of every host, so that the start of many hosts or servers costs as many calls as
+ * changes times hosts. When 65 hosts start in front of 18 servers, half a second saves two calls in three.
  */
-const GATHER_MILLISECONDS = 1000
+const BATCH_MILLISECONDS = 1000
 
-/** Grows, so that a fleet does not press a store that returns. */
-const SHORTEST_PAUSE_MILLISECONDS = 100
-const LONGEST_PAUSE_MILLISECONDS = 800
+/** The delay grows, so that a fleet does not overload a store that becomes available again. */
+const SHORTEST_RETRY_DELAY_MILLISECONDS = 100
+const LONGEST_RETRY_DELAY_MILLISECONDS = 800
 
 /**
- * A host that started while the store was away serves nobody until it has listed: after the store's
- * return nine of them came back within 0.2 to 0.9 s under the longer pause. Four calls a second
- * each, of the store's 2,000.
+ * A host that started while the store was unavailable serves no caller until its first list. With the longer
+ * delay, nine such hosts were ready 0.2 to 0.9 s after the store came back. This one costs four calls a second
+ * per host, of the store's 2,000.
  */
-const LONGEST_BLIND_PAUSE_MILLISECONDS = 250
+const LONGEST_INITIAL_RETRY_DELAY_MILLISECONDS = 250
 
-/** Hosts that follow through another one rest after a change too, and may have to ask the store then. */
-const TOLD_ON_RESERVE_MILLISECONDS = GATHER_MILLISECONDS + FIRST_WATCH_MILLISECONDS
+/** Hosts that follow through another one also pause after a change, and may have to ask the store afterwards. */
+const FORWARDING_RESERVE_MILLISECONDS = BATCH_MILLISECONDS + FIRST_WATCH_MILLISECONDS
 
-/** A host that follows through another one may lag by this when that one dies. */
+/** A host that follows through another one may lag by this much when that one dies. */
 const LONGEST_ZONE_WATCH_MILLISECONDS = 2000
 
-/** A store that is about to forget its history tells nobody of changes for so long. */
-const DEAF_MILLISECONDS = 1000
+/** How long a store that is about to compact its history may fail to report changes. */
+const SILENCE_MILLISECONDS = 1000
 
-/** For the host's own work on what it heard. */
+/** For the host's own processing of a change. */
 const RESERVE_MILLISECONDS = 150
 
 /** `bound`: the time within which a new configuration must be in force, in milliseconds. */
-export function newsBudget(bound: number): NewsBudget {
+export function changeDelayBudget(bound: number): ChangeDelayBudget {
   const budget = {
-    watch: 0,
-    toldOnWatch: 0,
+    storeWatch: 0,
+    forwardingWatch: 0,
     zoneWatch: Math.min(bound / 4, LONGEST_ZONE_WATCH_MILLISECONDS),
     firstWatch: FIRST_WATCH_MILLISECONDS,
     answer: Math.min(bound * ANSWER_SHARE, LONGEST_ANSWER_MILLISECONDS),
-    gather: GATHER_MILLISECONDS,
-    shortestPause: SHORTEST_PAUSE_MILLISECONDS,
-    longestPause: LONGEST_PAUSE_MILLISECONDS,
-    longestBlindPause: LONGEST_BLIND_PAUSE_MILLISECONDS,
+    batch: BATCH_MILLISECONDS,
+    shortestRetryDelay: SHORTEST_RETRY_DELAY_MILLISECONDS,
+    longestRetryDelay: LONGEST_RETRY_DELAY_MILLISECONDS,
+    longestInitialRetryDelay: LONGEST_INITIAL_RETRY_DELAY_MILLISECONDS,
   }
-  const left = bound - waySinceSilence(budget) - RESERVE_MILLISECONDS
+  const left = bound - delayFromWatchEnd(budget) - RESERVE_MILLISECONDS
   return {
     ...budget,
-    watch: clampWatch(left),
-    toldOnWatch: clampWatch(left - TOLD_ON_RESERVE_MILLISECONDS),
+    storeWatch: clampWatch(left),
+    forwardingWatch: clampWatch(left - FORWARDING_RESERVE_MILLISECONDS),
   }
 }
 
 const clampWatch = (span: number): number =>
   Math.min(Math.max(span, SHORTEST_WATCH_MILLISECONDS), LONGEST_WATCH_MILLISECONDS)
 
-/** The longest way of one change while the store is well. */
-export function longestWayOfNews(budget: NewsBudget): number {
-  return Math.max(wayPastSilence(budget), wayPastForgetting(budget)) + RESERVE_MILLISECONDS
+/** The longest time from a change to this host while the store is healthy. */
+export function worstCaseChangeDelay(budget: ChangeDelayBudget): number {
+  return Math.max(silentWatchDelay(budget), historyLossDelay(budget)) + RESERVE_MILLISECONDS
 }
 
-/** The connection of a long watch had gone silent, or that of the brief one after a rest. */
-function wayPastSilence(budget: NewsBudget): number {
-  const silentWatch = Math.max(budget.watch, budget.gather + budget.firstWatch)
-  return silentWatch + waySinceSilence(budget)
+/** The connection went silent during a long watch, or during the brief one that follows a batching pause. */
+function silentWatchDelay(budget: ChangeDelayBudget): number {
+  const silentWatch = Math.max(budget.storeWatch, budget.batch + budget.firstWatch)
+  return silentWatch + delayFromWatchEnd(budget)
 }
 
-/** From the end of a silent watch: its answer is overdue, and a new connection brings the news. */
-function waySinceSilence(budget: NewsBudget): number {
-  return budget.answer + budget.shortestPause * LONGEST_DRAW + budget.answer
+/** From the end of a silent watch's wait: its response times out, and a new connection reports the change. */
+function delayFromWatchEnd(budget: ChangeDelayBudget): number {
+  return budget.answer + budget.shortestRetryDelay * LONGEST_DRAW + budget.answer
 }
 
-/** The store told nobody of it, forgot it and cut the watch; the next one hears so, and a list follows. */
-function wayPastForgetting(budget: NewsBudget): number {
-  const lookedFor = budget.firstWatch + budget.answer
-  return DEAF_MILLISECONDS + budget.shortestPause * LONGEST_DRAW + lookedFor + budget.answer
+/** The store compacts a change without reporting it and cuts the watch; the next watch fails, and a list follows. */
+function historyLossDelay(budget: ChangeDelayBudget): number {
+  const detection = budget.firstWatch + budget.answer
+  return SILENCE_MILLISECONDS + budget.shortestRetryDelay * LONGEST_DRAW + detection + budget.answer
 }
--- /dev/null
+++ b/packages/host/src/serviceRegistry.ts
@@ -0,0 +1,347 @@
+/**
+ * Registry of the fleet's services as read from the store: the configuration, the backend servers, and for each
+ * service its state, its probe and its failover controller.
+ *
+ * @internal
+ */
+import { changeKey, hostKey, readHostRecord, readRecordName } from '@nutmegcourse/coordination'
+import type { CustomerName, KeyDigest, Milliseconds } from '@nutmegcourse/shared'
+import type {
+  DirectoryChange,
+  FleetConfiguration,
+  OperationLimit,
+  PromotionPort,
+  Route,
+  StoreLink,
+} from '@nutmegcourse/protocol'
+import { ServerDirectory, type DirectoryNews } from '@nutmegcourse/state'
+import type { CallerIdentity, RouteLookup } from './routeLookup.js'
+import { isUrgent, type ServiceInterest } from './changeUrgency.js'
+import { ConfigurationHolder } from './configurationHolder.js'
+import type { HostContext } from './hostContext.js'
+import type { HostFleet } from './hostFleet.js'
+import type { OwnRecordReader, StoredRecord } from './hostRegistration.js'
+import type { NewsDesk } from './newsDesk.js'
+import { FailoverController } from './failoverController.js'
+import { PrimaryProbe } from './primaryProbe.js'
+import { ServiceDesk } from './serviceDesk.js'
+import type { StoreListener } from './storeFollower.js'
+import { Signal } from './waiting.js'
+
+interface ServiceComponents {
+  readonly service: ServiceDesk
+  readonly probe: PrimaryProbe
+  readonly failover: FailoverController
+}
+
+export interface ServiceRegistryPorts {
+  readonly store: StoreLink
+  readonly promotion: PromotionPort
+}
+
+/** State of the host that a tick depends on. */
+export interface TickConditions {
+  /** The last tick was so long ago that the process must have been stalled. */
+  readonly wasStalled: boolean
+  readonly isStopping: boolean
+}
+
+const ANYONE: CallerIdentity = { kind: 'anyone' }
+const UNKNOWN: CallerIdentity = { kind: 'unknown' }
+
+export class ServiceRegistry implements StoreListener, OwnRecordReader {
+  readonly #context: HostContext
+  readonly #ports: ServiceRegistryPorts
+  readonly #fleet: HostFleet
+  readonly #changeFeed: NewsDesk
+  readonly #directory: ServerDirectory
+  readonly #configuration = new ConfigurationHolder()
+  readonly #components = new Map<string, ServiceComponents>()
+  readonly #listReceived = new Signal()
+  /** Called when the store was restored from an older copy. */
+  readonly #onRestored: () => void
+  #isListed = false
+  #ownRecord: StoredRecord | null = null
+
+  constructor(
+    context: HostContext,
+    ports: ServiceRegistryPorts,
+    fleet: HostFleet,
+    changeFeed: NewsDesk,
+    onRestored: () => void,
+  ) {
+    this.#context = context
+    this.#ports = ports
+    this.#fleet = fleet
+    this.#changeFeed = changeFeed
+    this.#onRestored = onRestored
+    this.#directory = new ServerDirectory(context.settings.drainMilliseconds)
+  }
+
+  /** Whether statements can be routed: there is a configuration, and each service has a backend server. */
+  get isServable(): boolean {
+    if (this.#configuration.current === null) return false
+    return [...this.#components.values()].every(({ service }) => service.servers.length > 0)
+  }
+
+  get hasConfiguration(): boolean {
+    return this.#configuration.current !== null
+  }
+
+  get idleTransactionMilliseconds(): number {
+    return this.#configuration.current?.idleTransactionMilliseconds ?? Number.POSITIVE_INFINITY
+  }
+
+  /** The longest statement timeout of all routes. */
+  get longestStatementMilliseconds(): number {
+    const routes = this.#configuration.current?.routes ?? []
+    return Math.max(0, ...routes.map(route => route.statementTimeoutMilliseconds))
+  }
+
+  /** Whether this host is changing the primary of some service. */
+  get isChanging(): boolean {
+    return [...this.#components.values()].some(({ failover }) => failover.isChanging)
+  }
+
+  /** Whether an answer of a server is outstanding, its connections are refused, or a primary is being changed. */
+  get hasPendingWork(): boolean {
+    if (this.isChanging) return true
+    return this.#services().some(({ servers }) =>
+      servers.some(({ owesAnswer, pool }) => owesAnswer || pool.refusals > 0),
+    )
+  }
+
+  get isListed(): boolean {
+    return this.#isListed
+  }
+
+  get ownRecord(): StoredRecord | null {
+    return this.#ownRecord
+  }
+
+  async whenListed(span: number): Promise<void> {
+    if (!this.#isListed) await this.#listReceived.wait(span)
+  }
+
+  whenConfigured(span: number): Promise<void> {
+    return this.#configuration.whenConfigured(span)
+  }
+
+  find(database: string): ReturnType<RouteLookup['find']> {
+    const route = this.#configuration.route(database)
+    const service = route === null ? undefined : this.service(route.service)
+    return route === null || service === undefined ? null : { route, desk: service }
+  }
+
+  identify(route: Route, key: KeyDigest): CallerIdentity {
+    if (!this.#context.settings.requiresKeys || route.isPublic) return ANYONE
+    const customer = this.#configuration.customers.holderOf(key)
+    return customer === null ? UNKNOWN : { kind: 'customer', customer }
+  }
+
+  limitOf(customer: CustomerName): OperationLimit | null {
+    return this.#configuration.customers.limitOf(customer)
+  }
+
+  service(name: string): ServiceDesk | undefined {
+    return this.#components.get(name)?.service
+  }
+
+  get isAwaited(): boolean {
+    if (this.#changeFeed.isAwaited) return true
+    const now = this.#context.clock.now()
+    return this.#services().some(service => service.isAwaitingPrimary(now))
+  }
+
+  isUrgent(change: DirectoryChange): boolean {
+    return isUrgent(change, this.#interest)
+  }
+
+  tick(now: Milliseconds, { wasStalled, isStopping }: TickConditions): void {
+    for (const serverChange of this.#directory.expire(now))
+      this.#applyServerChange(serverChange, now)
+    for (const { service, probe, failover } of this.#components.values()) {
+      const isActive = service.isActive(now)
+      for (const server of service.servers) {
+        // Answers to requests from before a stall arrived while the process could not read them.
+        if (wasStalled) server.forgetQuestions()
+        server.writes.noteTick(now)
+        server.watchLife(now)
+        const keepWarm = isActive && this.#directory.mayTakeWork(server.entry.server, now)
+        server.pool.tick(now, keepWarm)
+      }
+      if (isActive) probe.tick(now)
+      if (!isStopping && service.isObserved) failover.tick(now)
+    }
+  }
+
+  close(): void {
+    for (const service of this.#services()) service.close()
+  }
+
+  takeList(changes: readonly DirectoryChange[], since: Milliseconds, isRestored: boolean): void {
+    const now = this.#context.clock.now()
+    if (isRestored) this.#storeRestored(now)
+    this.#ownRecord = this.#findOwnRecord(changes)
+    this.#isListed = true
+    this.#listReceived.raise()
+    const listed = new Set(
+      changes.flatMap(change => (change.kind === 'server' ? [change.entry.server] : [])),
+    )
+    const records = new Set(
+      changes.flatMap(change => (change.kind === 'record' ? [change.key] : [])),
+    )
+    for (const change of changes) this.#applyChange(change, since, isRestored)
+    for (const serverChange of this.#directory.keepOnly(listed, now))
+      this.#applyServerChange(serverChange, now)
+    const isHostListed = (host: string): boolean => records.has(hostKey(host))
+    if (isRestored) this.#fleet.awaitReRegistration(isHostListed, now)
+    else this.#fleet.keepOnly(isHostListed)
+    this.#fleet.plan(this.#services())
+    for (const [name, { failover }] of this.#components) {
+      if (!records.has(changeKey(name))) failover.receiveChangeRecord(null, 0)
+    }
+  }
+
+  /** Claims made since the copy are missing from the store, while their holders may still act on them. */
+  #storeRestored(now: Milliseconds): void {
+    for (const { failover } of this.#components.values()) failover.storeRestored(now)
+    this.#onRestored()
+  }
+
+  takeChanges(changes: readonly DirectoryChange[], since: Milliseconds): void {
+    for (const change of changes) this.#applyChange(change, since)
+    this.planOwners()
+  }
+
+  planOwners(): void {
+    this.#fleet.plan(this.#services())
+  }
+
+  #findOwnRecord(changes: readonly DirectoryChange[]): StoredRecord | null {
+    const key = hostKey(this.#context.settings.entryHost)
+    for (const change of changes) {
+      if (change.kind !== 'record' || change.key !== key || change.value === null) continue
+      return { value: change.value, lease: change.lease }
+    }
+    return null
+  }
+
+  #applyChange(change: DirectoryChange, since: Milliseconds, isRestored = false): void {
+    const now = this.#context.clock.now()
+    switch (change.kind) {
+      case 'configuration':
+        this.#configure(change.configuration)
+        return
+      case 'server': {
+        const serverChange = isRestored
+          ? this.#directory.listRestored(change.entry, since)
+          : this.#directory.list(change.entry, since)
+        if (serverChange !== null) this.#applyServerChange(serverChange, now)
+        return
+      }
+      case 'serverGone': {
+        const serverChange = this.#directory.unlist(change.server, now)
+        if (serverChange !== null) this.#applyServerChange(serverChange, now)
+        return
+      }
+      case 'record':
+        this.#applyRecord(change.key, change.value, change.revision)
+        return
+      case 'unreadable':
+        this.#context.log.write('entry_unreadable', { key: change.key, detail: change.detail })
+    }
+  }
+
+  #configure(configuration: FleetConfiguration): void {
+    if (!this.#configuration.replace(configuration)) return
+    const { version, routes, services } = configuration
+    this.#context.log.write('configuration_taken', { version, routes: routes.length })
+    for (const service of services) this.#configureService(service)
+    this.#fleet.servicesChanged()
+    for (const [name, { probe }] of this.#components) {
+      probe.guarantees = routes.filter(route => route.service === name).map(each => each.guarantee)
+    }
+  }
+
+  #configureService(configuration: FleetConfiguration['services'][number]): void {
+    const known = this.#components.get(configuration.name)
+    if (known !== undefined) {
+      known.service.configuration = configuration
+      return
+    }
+    const service = new ServiceDesk(this.#context, this.#directory, configuration)
+    const { store, promotion } = this.#ports
+    const failover = new FailoverController(
+      this.#context,
+      service,
+      this.#directory,
+      store,
+      promotion,
+      () => this.#fleet.observersOf(configuration.name),
+    )
+    const probe = new PrimaryProbe(this.#context, service)
+    this.#components.set(configuration.name, { service, probe, failover })
+    const now = this.#context.clock.now()
+    for (const { entry } of this.#directory.ofService(configuration.name))
+      service.appeared(entry, now)
+  }
+
+  readonly #interest: ServiceInterest = {
+    worksWith: name => {
+      // Hosts that work with the service may read the change feed of this one.
+      if (this.#changeFeed.hasReaders) return true
+      const known = this.#components.get(name)?.service
+      return known !== undefined && (known.isObserved || known.isActive(this.#context.clock.now()))
+    },
+    serviceOf: server => this.#directory.get(server)?.entry.service ?? null,
+  }
+
+  #services(): ServiceDesk[] {
+    return [...this.#components.values()].map(({ service }) => service)
+  }
+
+  #applyServerChange(serverChange: DirectoryNews, now: Milliseconds): void {
+    const { entry } = serverChange
+    this.#context.log.write(`server_${serverChange.kind}`, {
+      server: entry.server,
+      service: entry.service,
+      role: entry.role,
+      zone: entry.zone,
+      isLeaving: entry.isLeaving,
+    })
+    const service = this.#components.get(entry.service)?.service
+    switch (serverChange.kind) {
+      case 'appeared':
+        service?.appeared(entry, now)
+        return
+      case 'changed':
+        service?.changedEntry(entry, serverChange.before, now)
+        return
+      case 'unlisted':
+        service?.changed.raise()
+        return
+      case 'removed':
+        service?.removed(entry.server)
+    }
+  }
+
+  #applyRecord(key: string, value: string | null, revision: number): void {
+    const name = readRecordName(key)
+    switch (name?.kind) {
+      case 'change':
+        this.#components.get(name.service)?.failover.receiveChangeRecord(value, revision)
+        return
+      case 'suspicion':
+        if (name.host === this.#context.settings.entryHost) return
+        this.#components.get(name.service)?.failover.receiveSuspicion(name.host, value)
+        return
+      case 'host': {
+        const record = value === null ? null : readHostRecord(value)
+        this.#fleet.receiveHostRecord(name.host, record)
+        return
+      }
+      case undefined:
+    }
+  }
+}
