--- a/packages/shared/__tests__/position.spec.ts
+++ b/packages/shared/__tests__/position.spec.ts
@@ -4,8 +4,13 @@
 
 describe('comparePositions', () => {
   const cases = [
-    { name: 'same term, lesser offset', left: [3, 4], right: [3, 9], sign: -1 },
-    { name: 'equal', left: [3, 9], right: [3, 9], sign: 0 },
+    {
+      name: 'in the same term the lesser offset comes first',
+      left: [3, 4],
+      right: [3, 9],
+      sign: -1,
+    },
+    { name: 'equal positions compare as equal', left: [3, 9], right: [3, 9], sign: 0 },
     { name: 'a later term wins over a greater offset', left: [4, 1], right: [3, 900], sign: 1 },
   ] as const
   for (const { name, left, right, sign } of cases) {
--- a/packages/shared/src/assertNever.ts
+++ b/packages/shared/src/assertNever.ts
@@ -1,4 +1,4 @@
-/** Marks the branch of a switch that no member of a union reaches; the compiler proves it. */
+/** Marks the unreachable branch of an exhaustive switch; the compiler checks that no case is missing. */
 export function assertNever(value: never): never {
   throw new Error(`unhandled case: ${JSON.stringify(value)}`)
 }
--- a/packages/shared/src/clock.ts
+++ b/packages/shared/src/clock.ts
@@ -1,7 +1,7 @@
 /** Time in milliseconds. Deterministic code takes a `Clock` or a `now`, never the system's time. */
 import type { Brand } from './brand.js'
 
-/** A point on one process's monotonic time line, or a span of it. Never compared across hosts. */
+/** A point in one process's monotonic time, or a duration. Never compared across hosts. */
 export type Milliseconds = Brand<number, 'Milliseconds'>
 
 export const milliseconds = (value: number): Milliseconds => value as Milliseconds
@@ -13,14 +13,14 @@
   now(): Milliseconds
 }
 
-/** Monotonic time of this process; steps of the wall clock do not move it. */
+/** Monotonic time of this process, unaffected by adjustments of the wall clock. */
 export class SystemClock implements Clock {
   now(): Milliseconds {
     return milliseconds(performance.now())
   }
 }
 
-/** Time that moves only when a test says so. */
+/** Time that advances only when a test calls `advance`. */
 export class VirtualClock implements Clock {
   #now: Milliseconds
 
--- a/packages/shared/src/ids.ts
+++ b/packages/shared/src/ids.ts
@@ -1,4 +1,4 @@
-/** Branded identifiers. Each comes from settings, the platform or a caller, as its comment says. */
+/** Branded identifiers. Each comment states whether its values come from settings, the platform or a caller. */
 import type { Brand } from './brand.js'
 
 /** An entry host: a machine that runs one agent and one or more proxies. From settings. */
@@ -13,13 +13,13 @@
 export type BackendServerId = Brand<string, 'BackendServerId'>
 /** A class of work that operators declare in the targets. */
 export type ClassName = Brand<string, 'ClassName'>
-/** A session that may roam between proxies. Given by the caller, or made up for one connection. */
+/** A session that may move between proxies. Given by the caller, or generated for one connection. */
 export type SessionId = Brand<string, 'SessionId'>
-/** Follows one request through every process and log line. */
+/** Identifies one request in every process and log line. */
 export type RequestId = Brand<string, 'RequestId'>
-/** Marks one attempt at a change in the store, so that a lost answer is settled by reading back. */
+/** Marks one attempt at a change in the store, so that reading it back settles a lost answer. */
 export type AttemptId = Brand<string, 'AttemptId'>
-/** A host's life: grows with each restart, so that news of an older life never wins. */
+/** A host's incarnation: grows with each restart, so that reports of an older one never win. */
 export type Incarnation = Brand<number, 'Incarnation'>
 
 /** A customer whose callers share limits and connections. From the operators' configuration. */
--- a/packages/shared/src/keyDigest.ts
+++ b/packages/shared/src/keyDigest.ts
@@ -1,6 +1,6 @@
 /**
- * API keys as hosts keep and forward them. A key itself is secret and leaves the wire codecs only as a digest, so
- * that no log line, metric or message between hosts can disclose it.
+ * Digests of API keys, as hosts store and forward them. A key is secret and leaves the wire codecs only as a
+ * digest, so that no log line, metric or message between hosts can disclose it.
  */
 import { createHash } from 'node:crypto'
 import type { Brand } from './brand.js'
--- a/packages/shared/src/position.ts
+++ b/packages/shared/src/position.ts
@@ -1,7 +1,7 @@
 /** Log positions: which writes a backend server holds. */
 import type { Brand } from './brand.js'
 
-/** The reign of one primary. Grows by promotion only. */
+/** Numbers the period during which one primary leads. Only a promotion increases it. */
 export type Term = Brand<number, 'Term'>
 /** The number of log records up to and including one record. */
 export type LogOffset = Brand<number, 'LogOffset'>
@@ -12,8 +12,8 @@
 /**
  * The end of a log: the term in which its last record was written, and that record's offset.
  *
- * Every term opens with a record of its own, so of two logs the one with the greater position
- * holds every write that a majority ever confirmed to be in the lesser one.
+ * Every term starts with a record of its own, so of two logs the one with the greater position
+ * holds every write of the other that a majority ever confirmed.
  */
 export interface LogPosition {
   readonly term: Term
--- a/packages/shared/src/random.ts
+++ b/packages/shared/src/random.ts
@@ -1,13 +1,13 @@
-/** Randomness that comes in from outside, so that a seed repeats a run. */
+/** A source of random numbers, passed in so that a seed reproduces a run. */
 export interface RandomSource {
   /** A number from 0 up to, not including, 1. */
   next(): number
 }
 
-/** The longest that `drawnApart` makes of a span, as a factor. */
+/** The largest factor by which `jittered` lengthens a span. */
 export const LONGEST_DRAW = 1.5
 
-/** A span between half and one and a half times as long, so that many who wait do not return together. */
+/** A span between half and one and a half times as long, so that many waiters do not all retry at once. */
 export const drawnApart = (span: number, random: RandomSource): number =>
   span * (LONGEST_DRAW - 1 + random.next())
 
@@ -28,7 +28,7 @@
   }
 }
 
-/** The platform's randomness, for shipped processes. */
+/** The random numbers of the JavaScript runtime, for production processes. */
 export class SystemRandom implements RandomSource {
   next(): number {
     return Math.random()
--- a/packages/shared/src/reasons.ts
+++ b/packages/shared/src/reasons.ts
@@ -1,5 +1,5 @@
 /**
- * The one table of reasons why a request gets no ordinary answer.
+ * The table of all reasons for which a request is refused.
  * Each has a stable code, an SQLSTATE, a counter of the same name, and a kind that callers rely on:
  * `notRun` means that no part of the request ran; `outcomeUnknown` means that it may have.
  */
@@ -113,11 +113,11 @@
 
 export const allReasons = (): readonly Reason[] => Object.keys(REASONS) as Reason[]
 
-/** A request's final answer when it gets no ordinary one. */
+/** The final answer to a request that is refused. */
 export interface Refusal {
   readonly reason: Reason
-  /** What the caller should know beyond the table's message. */
+  /** Additional information for the caller, beyond the table's message. */
   readonly detail?: string
-  /** When to come back, in milliseconds from now; absent when asking again can not help. */
+  /** Time after which to retry, in milliseconds; absent when a retry cannot help. */
   readonly retryAfterMilliseconds?: number
 }
