--- a/packages/stand-ins/__tests__/storeRestore.spec.ts
+++ b/packages/stand-ins/__tests__/storeRestore.spec.ts
@@ -2,7 +2,7 @@
 import { expect } from 'earl'
 import fc from 'fast-check'
 import { eraOf, ownRevisionOf, storeRevision } from '@nutmegcourse/protocol'
-import { MemoryStore, type StoreCopy } from '../src/index.js'
+import { MemoryStore, type StoreSnapshot } from '../src/index.js'
 
 describe('storeRevision', () => {
   const cases: readonly (readonly [number, number])[] = [
@@ -18,22 +18,22 @@
     })
   }
 
-  it('leaves "does not exist" as it is in every era', () => {
+  it('keeps 0, the revision of a missing key, in every era', () => {
     expect(storeRevision(3, 0)).toEqual(0)
   })
 })
 
 type Step = 'claim' | 'copy' | 'restore'
 
-describe('a store that comes back from a copy', () => {
-  // The revision of a claim is the fencing token of its holder. The store gives revisions out again after it was
-  // restored; two holders with one token could both promote a server.
-  it('never makes two claims with one revision, and later ones are greater', () => {
+describe('a store restored from a snapshot', () => {
+  // The revision of a claim is the fencing token of its holder. A restored store assigns revisions again; without
+  // eras two holders could get the same token and both promote a server.
+  it('gives each claim a greater revision than all earlier ones', () => {
     const step = fc.constantFrom<Step>('claim', 'claim', 'claim', 'copy', 'restore')
     fc.assert(
       fc.property(fc.array(step, { maxLength: 60 }), steps => {
         const store = new MemoryStore()
-        let copy: StoreCopy = store.copy()
+        let copy: StoreSnapshot = store.copy()
         let last = 0
         for (const each of steps) {
           if (each === 'copy') copy = store.copy()
@@ -53,7 +53,7 @@
     )
   })
 
-  it('knows no lease and no watch of before', () => {
+  it('rejects leases and watches from before the restore', () => {
     const store = new MemoryStore()
     const copy = store.copy()
     const lease = store.grant(60_000)
--- a/packages/stand-ins/src/backendServer/backendServer.ts
+++ b/packages/stand-ins/src/backendServer/backendServer.ts
@@ -1,4 +1,4 @@
-/** One backend server as a process would run it: its listener, connections, limits and replication. */
+/** A complete backend server: its listener, connections, limits and replication. */
 import type { Server, Socket } from 'node:net'
 import { err, type Result } from 'neverthrow'
 import { assertNever, term, type Term } from '@nutmegcourse/shared'
@@ -10,7 +10,7 @@
 import { ReplicationFollower, type ReplicationLag } from './replicationFollower.js'
 import { ReplicationSource } from './replicationSource.js'
 import { Slots } from './slots.js'
-import { done, reportAnswer, StatementRunner, type Answer } from './statementRunner.js'
+import { completed, reportAnswer, StatementRunner, type Answer } from './statementRunner.js'
 import type { ControlStatement } from './statements.js'
 import type { SqlError } from './wire/backendFrames.js'
 
@@ -25,7 +25,7 @@
   readonly #sockets = new Set<Socket>()
   #follower: ReplicationFollower | null = null
   #server: Server | null = null
-  #connectionsSeen = 0
+  #connectionsAccepted = 0
   #connectionPeak = 0
   #connectionsRefused = 0
 
@@ -64,7 +64,10 @@
     this.#log.close()
   }
 
-  /** A server with a data file of its own comes up as a replica without a source: it must be told. */
+  /**
+   * Applies the initial role and term of a server that has no data file yet. A server that restores
+   * its log starts as a replica without a source, until `platform_follow` or `platform_promote`.
+   */
   #bootstrap(): void {
     const initial = term(this.#settings.initialTerm)
     this.#instance.fence(initial)
@@ -74,8 +77,8 @@
   #accept(socket: Socket): void {
     this.#sockets.add(socket)
     socket.once('close', () => this.#sockets.delete(socket))
-    this.#connectionsSeen += 1
-    const processId = this.#connectionsSeen
+    this.#connectionsAccepted += 1
+    const processId = this.#connectionsAccepted
     const connection: ClientConnection = new ClientConnection(socket, processId, {
       connectMilliseconds: this.#settings.connectMilliseconds,
       admit: () => this.#admit(connection),
@@ -137,35 +140,41 @@
       case 'setLag':
         this.#lag.milliseconds = statement.milliseconds
         this.#follower?.applyDue()
-        return done('SELECT 1', [[String(statement.milliseconds)]])
+        return completed('SELECT 1', [[String(statement.milliseconds)]])
       case 'pauseReplication':
         this.#lag.paused = statement.paused
         this.#follower?.applyDue()
-        return done('SELECT 1', [[String(statement.paused)]])
+        return completed('SELECT 1', [[String(statement.paused)]])
       case 'countStatements':
-        return done('SELECT 1', [[String(this.#slots.runs)]])
+        return completed('SELECT 1', [[String(this.#slots.startedCount)]])
       case 'countConnections':
-        return done('SELECT 1', [[String(this.#connectionPeak), String(this.#connectionsRefused)]])
+        return completed('SELECT 1', [
+          [String(this.#connectionPeak), String(this.#connectionsRefused)],
+        ])
       default:
         return assertNever(statement)
     }
   }
 
-  #follow(led: Term, address: string, advertisedPort: number): Result<Answer, SqlError> {
+  #follow(primaryTerm: Term, address: string, advertisedPort: number): Result<Answer, SqlError> {
     const port = this.#routedPort(advertisedPort)
-    const allowed = this.#instance.allowFollowing(led)
+    const allowed = this.#instance.allowFollowing(primaryTerm)
     if (allowed.isErr()) return err(allowed.error)
     const current = this.#follower
-    const same =
-      current?.term === led && current.place.address === address && current.place.port === port
-    if (!same) {
-      const place = { address, port }
-      this.#replaceFollower(new ReplicationFollower(this.#instance, led, place, this.#lag))
+    const isUnchanged =
+      current?.term === primaryTerm &&
+      current.endpoint.address === address &&
+      current.endpoint.port === port
+    if (!isUnchanged) {
+      const endpoint = { address, port }
+      this.#replaceFollower(
+        new ReplicationFollower(this.#instance, primaryTerm, endpoint, this.#lag),
+      )
     }
     return reportAnswer(this.#instance.report())
   }
 
-  /** The fleet names a server by the port of its own zone; this server may reach it by another. */
+  /** The fleet names a server by the port used in its own zone; this zone may need another port. */
   #routedPort(advertisedPort: number): number {
     const route = this.#settings.routes.find(candidate => candidate.fromPort === advertisedPort)
     return route?.toPort ?? advertisedPort
--- a/packages/stand-ins/src/backendServer/clientConnection.ts
+++ b/packages/stand-ins/src/backendServer/clientConnection.ts
@@ -1,4 +1,4 @@
-/** A connection from its first byte: startup, admission, then a session, a cancellation or a follower. */
+/** An accepted connection: startup and admission, then a session, a cancel request or replication. */
 import { randomInt } from 'node:crypto'
 import type { Socket } from 'node:net'
 import { ClientSession } from './clientSession.js'
@@ -6,7 +6,7 @@
 import * as frames from './wire/backendFrames.js'
 import { FrontendReader, MalformedMessage, type FrontendMessage } from './wire/frontendMessages.js'
 
-export interface ConnectionHost {
+export interface ConnectionOptions {
   readonly connectMilliseconds: number
   /** False when the connection limit is reached. */
   admit(): boolean
@@ -18,11 +18,11 @@
 type Stage =
   | { readonly kind: 'starting' }
   | { readonly kind: 'session'; readonly session: ClientSession }
-  /** The socket belongs to replication. */
+  /** Replication owns the socket. */
   | { readonly kind: 'replication' }
 
 const CONTROL_APPLICATION = 'nutmegcourse-control'
-const LARGEST_SECRET = 2 ** 31
+const SECRET_KEY_LIMIT = 2 ** 31
 const SERVER_PARAMETERS = {
   server_version: '16.0',
   server_encoding: 'UTF8',
@@ -35,25 +35,25 @@
 
 export class ClientConnection {
   readonly processId: number
-  readonly #secretKey = randomInt(1, LARGEST_SECRET)
+  readonly #secretKey = randomInt(1, SECRET_KEY_LIMIT)
   readonly #socket: Socket
-  readonly #host: ConnectionHost
+  readonly #options: ConnectionOptions
   readonly #reader = new FrontendReader()
   #stage: Stage = { kind: 'starting' }
   #runner: StatementRunner | null = null
   #isControl = false
 
-  constructor(socket: Socket, processId: number, host: ConnectionHost) {
+  constructor(socket: Socket, processId: number, options: ConnectionOptions) {
     this.processId = processId
     this.#socket = socket
-    this.#host = host
+    this.#options = options
     socket.on('error', () => undefined)
     socket.on('data', chunk => {
       this.#receive(chunk)
     })
   }
 
-  /** Opened by the fleet to ask and order: stays open when callers' connections close. */
+  /** Opened by the fleet for control statements; stays open when callers' connections are closed. */
   get isControl(): boolean {
     return this.#isControl
   }
@@ -62,7 +62,7 @@
     if (secretKey === this.#secretKey) this.#runner?.cancel()
   }
 
-  /** Closes the connection for the server's own reasons, and gives up what runs on it. */
+  /** Closes the connection on the server's initiative and cancels the running statement. */
   destroy(): void {
     this.#runner?.terminate()
     this.#socket.destroy()
@@ -75,18 +75,18 @@
       messages = this.#reader.push(chunk)
     } catch (error) {
       if (!(error instanceof MalformedMessage)) throw error
-      this.#endWith({ code: '08P01', message: error.message })
+      this.#closeWithError({ code: '08P01', message: error.message })
       return
     }
     if (this.#stage.kind === 'session') this.#stage.session.receive(messages)
-    else for (const message of messages) this.#begin(message)
+    else for (const message of messages) this.#handleStartupMessage(message)
   }
 
-  #begin(message: FrontendMessage): void {
+  #handleStartupMessage(message: FrontendMessage): void {
     if (message.kind === 'startup') this.#startUp(message.parameters)
     else if (message.kind === 'encryptionRequest') this.#socket.write('N')
     else if (message.kind === 'cancelRequest') {
-      this.#host.cancel(message.processId, message.secretKey)
+      this.#options.cancel(message.processId, message.secretKey)
       this.#socket.end()
     } else this.#socket.destroy()
   }
@@ -94,23 +94,23 @@
   #startUp(parameters: ReadonlyMap<string, string>): void {
     if (parameters.has('replication')) {
       this.#stage = { kind: 'replication' }
-      this.#host.replicate(parameters)
+      this.#options.replicate(parameters)
       return
     }
-    if (!this.#host.admit()) {
-      this.#endWith({ code: '53300', message: 'sorry, too many clients already' })
+    if (!this.#options.admit()) {
+      this.#closeWithError({ code: '53300', message: 'sorry, too many clients already' })
       return
     }
     this.#isControl = parameters.get('application_name') === CONTROL_APPLICATION
     this.#socket.pause()
     setTimeout(() => {
-      this.#welcome()
-    }, this.#host.connectMilliseconds)
+      this.#startSession()
+    }, this.#options.connectMilliseconds)
   }
 
-  #welcome(): void {
+  #startSession(): void {
     if (this.#socket.destroyed) return
-    this.#runner = this.#host.newRunner()
+    this.#runner = this.#options.newRunner()
     this.#stage = { kind: 'session', session: new ClientSession(this.#socket, this.#runner) }
     const parameters = Object.entries(SERVER_PARAMETERS).map(([name, value]) =>
       frames.parameterStatus(name, value),
@@ -126,7 +126,7 @@
     this.#socket.resume()
   }
 
-  #endWith(error: frames.SqlError): void {
+  #closeWithError(error: frames.SqlError): void {
     this.#socket.end(frames.errorResponse(error, 'FATAL'))
   }
 }
--- a/packages/stand-ins/src/backendServer/clientSession.ts
+++ b/packages/stand-ins/src/backendServer/clientSession.ts
@@ -1,4 +1,4 @@
-/** One PostgreSQL connection after its startup: messages in order, answers in order. */
+/** A PostgreSQL session after startup: processes messages and answers them in order. */
 import { once } from 'node:events'
 import type { Socket } from 'node:net'
 import { assertNever } from '@nutmegcourse/shared'
@@ -12,7 +12,7 @@
 const FLUSH_BYTES = 64 * 1024
 
 interface Portal {
-  /** Null for an empty text. */
+  /** Null for an empty statement text. */
   readonly statement: Statement | null
   readonly columns: readonly Column[] | null
 }
@@ -25,7 +25,7 @@
   readonly #inbox: FrontendMessage[] = []
   #unsent: Buffer[] = []
   #unsentBytes = 0
-  #working = false
+  #isProcessing = false
   #skipToSync = false
 
   constructor(socket: Socket, runner: StatementRunner) {
@@ -35,16 +35,16 @@
 
   receive(messages: readonly FrontendMessage[]): void {
     this.#inbox.push(...messages)
-    if (!this.#working) this.#work().catch(() => this.#socket.destroy())
+    if (!this.#isProcessing) this.#processMessages().catch(() => this.#socket.destroy())
   }
 
-  async #work(): Promise<void> {
-    this.#working = true
+  async #processMessages(): Promise<void> {
+    this.#isProcessing = true
     for (let next = this.#inbox.shift(); next !== undefined; next = this.#inbox.shift()) {
       if (this.#runner.terminated) return
       await this.#handle(next)
     }
-    this.#working = false
+    this.#isProcessing = false
   }
 
   async #handle(message: FrontendMessage): Promise<void> {
@@ -68,11 +68,11 @@
       case 'close':
         if (message.target === 'statement') this.#statements.delete(message.name)
         else this.#portals.delete(message.name)
-        this.#put(frames.closeComplete())
+        this.#queueFrame(frames.closeComplete())
         return
       case 'sync':
         this.#skipToSync = false
-        this.#ready()
+        this.#sendReady()
         return
       case 'flush':
         this.#flush()
@@ -98,7 +98,7 @@
 
   async #simpleQuery(text: string): Promise<void> {
     const statements = splitStatements(text)
-    if (statements.length === 0) this.#put(frames.emptyQueryResponse())
+    if (statements.length === 0) this.#queueFrame(frames.emptyQueryResponse())
     if (statements.length > 1) this.#runner.beginImplicit()
     let failed = false
     for (const statement of statements) {
@@ -106,26 +106,26 @@
       if (failed) break
     }
     if (statements.length > 1 && !failed) {
-      this.#runner.endImplicit().mapErr(error => {
-        this.#put(frames.errorResponse(error))
+      this.#runner.commitImplicit().mapErr(error => {
+        this.#queueFrame(frames.errorResponse(error))
       })
     }
-    this.#ready()
+    this.#sendReady()
   }
 
   async #runSimple(text: string): Promise<boolean> {
     const parsed = parseStatement(text)
     if (parsed === null) {
       this.#runner.fail()
-      this.#put(frames.errorResponse(unknownStatement(text)))
+      this.#queueFrame(frames.errorResponse(unknownStatement(text)))
       return false
     }
     const outcome = await this.#runner.run(parsed.bind([]))
     if (outcome.isErr()) {
-      this.#put(frames.errorResponse(outcome.error))
+      this.#queueFrame(frames.errorResponse(outcome.error))
       return false
     }
-    if (parsed.columns !== null) this.#put(frames.rowDescription(parsed.columns))
+    if (parsed.columns !== null) this.#queueFrame(frames.rowDescription(parsed.columns))
     await this.#sendAnswer(outcome.value)
     return true
   }
@@ -142,18 +142,18 @@
       return
     }
     this.#statements.set(name, parsed)
-    this.#put(frames.parseComplete())
+    this.#queueFrame(frames.parseComplete())
   }
 
   #bind(portal: string, name: string, values: readonly (string | null)[]): void {
     const parsed = this.#statements.get(name)
     if (parsed === undefined) {
-      this.#extendedError(unknownPrepared(name))
+      this.#extendedError(unknownPreparedStatement(name))
       return
     }
-    const wanted = parsed?.parameterCount ?? 0
-    if (values.length !== wanted) {
-      const message = `bind message supplies ${values.length} parameters, but ${wanted} are required`
+    const expectedCount = parsed?.parameterCount ?? 0
+    if (values.length !== expectedCount) {
+      const message = `bind message supplies ${values.length} parameters, but ${expectedCount} are required`
       this.#extendedError({ code: '08P01', message })
       return
     }
@@ -161,7 +161,7 @@
       statement: parsed?.bind(values) ?? null,
       columns: parsed?.columns ?? null,
     })
-    this.#put(frames.bindComplete())
+    this.#queueFrame(frames.bindComplete())
   }
 
   #describe(message: Extract<FrontendMessage, { kind: 'describe' }>): void {
@@ -170,18 +170,18 @@
         ? this.#statements.get(message.name)
         : this.#portals.get(message.name)
     if (found === undefined) {
-      this.#extendedError(unknownPrepared(message.name))
+      this.#extendedError(unknownPreparedStatement(message.name))
       return
     }
     if (message.target === 'statement') {
       const count = this.#statements.get(message.name)?.parameterCount ?? 0
-      this.#put(frames.parameterDescription(count))
+      this.#queueFrame(frames.parameterDescription(count))
     }
     const columns = found?.columns ?? null
-    this.#put(columns === null ? frames.noData() : frames.rowDescription(columns))
+    this.#queueFrame(columns === null ? frames.noData() : frames.rowDescription(columns))
   }
 
-  /** A row limit is not kept: every row is sent at once. */
+  /** Ignores the row limit of Execute: all rows are sent at once. */
   async #execute(name: string): Promise<void> {
     const portal = this.#portals.get(name)
     if (portal === undefined) {
@@ -189,20 +189,20 @@
       return
     }
     if (portal.statement === null) {
-      this.#put(frames.emptyQueryResponse())
+      this.#queueFrame(frames.emptyQueryResponse())
       return
     }
     const outcome = await this.#runner.run(portal.statement)
     if (outcome.isErr()) {
       this.#skipToSync = true
-      this.#put(frames.errorResponse(outcome.error))
+      this.#queueFrame(frames.errorResponse(outcome.error))
       return
     }
     await this.#sendAnswer(outcome.value)
-    this.#forgetDiscarded(portal.statement)
+    this.#dropDiscardedStatements(portal.statement)
   }
 
-  #forgetDiscarded(statement: Statement): void {
+  #dropDiscardedStatements(statement: Statement): void {
     if (statement.kind === 'discardAll') this.#statements.clear()
     if (statement.kind !== 'deallocate') return
     if (statement.name === null) this.#statements.clear()
@@ -213,38 +213,38 @@
     let count = 0
     for (const row of answer.rows) {
       count += 1
-      this.#put(frames.dataRow(row))
+      this.#queueFrame(frames.dataRow(row))
       if (this.#unsentBytes < FLUSH_BYTES) continue
       this.#flush()
-      if (this.#socket.writableNeedDrain) await this.#drained()
+      if (this.#socket.writableNeedDrain) await this.#waitForDrain()
       if (this.#socket.destroyed) return
     }
-    this.#put(frames.commandComplete(answer.tag(count)))
+    this.#queueFrame(frames.commandComplete(answer.tag(count)))
   }
 
-  /** Waits until the client reads on, or leaves. */
-  async #drained(): Promise<void> {
-    const waiting = new AbortController()
+  /** Waits until the socket drains or closes. */
+  async #waitForDrain(): Promise<void> {
+    const abortOnClose = new AbortController()
     const closed = (): void => {
-      waiting.abort()
+      abortOnClose.abort()
     }
     this.#socket.once('close', closed)
-    await once(this.#socket, 'drain', { signal: waiting.signal }).catch(() => undefined)
+    await once(this.#socket, 'drain', { signal: abortOnClose.signal }).catch(() => undefined)
     this.#socket.off('close', closed)
   }
 
   #extendedError(error: SqlError): void {
     this.#runner.fail()
     this.#skipToSync = true
-    this.#put(frames.errorResponse(error))
+    this.#queueFrame(frames.errorResponse(error))
   }
 
-  #ready(): void {
-    this.#put(frames.readyForQuery(this.#runner.status))
+  #sendReady(): void {
+    this.#queueFrame(frames.readyForQuery(this.#runner.status))
     this.#flush()
   }
 
-  #put(frame: Buffer): void {
+  #queueFrame(frame: Buffer): void {
     this.#unsent.push(frame)
     this.#unsentBytes += frame.length
   }
@@ -262,7 +262,7 @@
   code: '42601',
   message: `the stand-in does not know this statement: ${text.slice(0, 80)}`,
 })
-const unknownPrepared = (name: string): SqlError => ({
+const unknownPreparedStatement = (name: string): SqlError => ({
   code: '26000',
   message: `prepared statement "${name}" does not exist`,
 })
--- a/packages/stand-ins/src/backendServer/databaseInstance.ts
+++ b/packages/stand-ins/src/backendServer/databaseInstance.ts
@@ -1,8 +1,8 @@
 /**
  * One member of a database group: its log, its role, and the rules of fencing and promotion.
  *
- * A server fenced at term F takes no write and no replication of a term below F. So once a majority
- * is fenced at F, a primary of a lower term can never again get a write to a majority.
+ * A server fenced at term F accepts no write and no replication of a term below F. Once a majority
+ * is fenced at F, a primary of a lower term can therefore no longer replicate a write to a majority.
  */
 import { err, ok, type Result } from 'neverthrow'
 import { STALE_TERM_SQL_STATE, type PositionReport } from '@nutmegcourse/protocol'
@@ -19,17 +19,17 @@
   message: 'cannot execute a write in a read-only transaction',
 }
 
-const staleTerm = (asked: Term, fenced: Term): SqlError => ({
+const staleTerm = (requestedTerm: Term, fencedTerm: Term): SqlError => ({
   code: STALE_TERM_SQL_STATE,
-  message: `term ${asked} is not this server's fenced term ${fenced}`,
+  message: `term ${requestedTerm} is not this server's fenced term ${fencedTerm}`,
 })
 
 export interface InstanceListener {
-  /** Callers' connections must close before anyone learns of the change of role or data. */
+  /** Must close callers' connections before the change of role or data becomes visible. */
   closeCallers(): void
-  /** This server leads no longer: its followers must go. */
+  /** This server is no longer the primary: its replication connections must close. */
   demoted(): void
-  /** Records were added by this server as primary. */
+  /** This server appended records as the primary. */
   appended(): void
 }
 
@@ -49,7 +49,7 @@
     return this.#role.kind === 'primary'
   }
 
-  /** The term that this server leads; null for a replica. */
+  /** The term in which this server is the primary; null for a replica. */
   get ledTerm(): Term | null {
     return this.#role.kind === 'primary' ? this.#role.term : null
   }
@@ -70,34 +70,39 @@
     }
   }
 
-  fence(asked: Term): Result<PositionReport, SqlError> {
-    if (asked < this.#log.fencedTerm) return err(staleTerm(asked, this.#log.fencedTerm))
-    this.#raiseFence(asked)
+  fence(requestedTerm: Term): Result<PositionReport, SqlError> {
+    if (requestedTerm < this.#log.fencedTerm)
+      return err(staleTerm(requestedTerm, this.#log.fencedTerm))
+    this.#raiseFence(requestedTerm)
     return ok(this.report())
   }
 
-  promote(asked: Term): Result<PositionReport, SqlError> {
-    if (asked !== this.#log.fencedTerm) return err(staleTerm(asked, this.#log.fencedTerm))
+  promote(requestedTerm: Term): Result<PositionReport, SqlError> {
+    if (requestedTerm !== this.#log.fencedTerm)
+      return err(staleTerm(requestedTerm, this.#log.fencedTerm))
     if (this.isPrimary) return ok(this.report())
-    this.#role = { kind: 'primary', term: asked }
-    this.#log.append({ term: asked, changes: [] })
+    this.#role = { kind: 'primary', term: requestedTerm }
+    this.#log.append({ term: requestedTerm, changes: [] })
     this.#listener.appended()
     return ok(this.report())
   }
 
-  /** Allows replication from the primary of a term. */
-  allowFollowing(led: Term): Result<PositionReport, SqlError> {
-    if (led < this.#log.fencedTerm) return err(staleTerm(led, this.#log.fencedTerm))
-    if (this.#role.kind === 'primary' && this.#role.term === led) {
-      return err({ code: '55000', message: `this server leads term ${led} itself` })
+  /** Prepares for replication from the primary of a term: raises the fence to that term. */
+  allowFollowing(primaryTerm: Term): Result<PositionReport, SqlError> {
+    if (primaryTerm < this.#log.fencedTerm) return err(staleTerm(primaryTerm, this.#log.fencedTerm))
+    if (this.#role.kind === 'primary' && this.#role.term === primaryTerm) {
+      return err({ code: '55000', message: `this server leads term ${primaryTerm} itself` })
     }
-    this.#raiseFence(led)
+    this.#raiseFence(primaryTerm)
     return ok(this.report())
   }
 
-  /** A replica's records of a primary of `led`. False when a newer fence forbids them. */
-  replicate(led: Term, from: number, records: readonly LogRecord[]): boolean {
-    if (!this.#mayTakeFrom(led) || from !== this.#log.length) return false
+  /**
+   * Appends records received from the primary of `primaryTerm`. False when this server is not a
+   * replica, a newer fence forbids it, or the records do not continue the log.
+   */
+  replicate(primaryTerm: Term, from: number, records: readonly LogRecord[]): boolean {
+    if (!this.#mayReplicateFrom(primaryTerm) || from !== this.#log.length) return false
     for (const record of records) {
       this.#log.append(record)
       this.tables.apply(record.changes)
@@ -105,9 +110,12 @@
     return true
   }
 
-  /** Discards what the primary of `led` lacks. False when a newer fence forbids it. */
-  truncateTo(led: Term, offset: number): boolean {
-    if (!this.#mayTakeFrom(led)) return false
+  /**
+   * Discards the records that the primary of `primaryTerm` lacks. False when this server is not a
+   * replica or a newer fence forbids it.
+   */
+  truncateTo(primaryTerm: Term, offset: number): boolean {
+    if (!this.#mayReplicateFrom(primaryTerm)) return false
     if (offset >= this.#log.length) return true
     this.#listener.closeCallers()
     this.#log.truncateTo(offset)
@@ -136,19 +144,19 @@
   }
 
   /**
-   * A primary that is fenced above its term stops here: a write that it has not answered yet must
-   * not be told as done, because the new primary may lack it. Its callers see a closed connection.
+   * Demotes a primary that is fenced above its term. A write that it has not answered yet must not be
+   * acknowledged, because the new primary may lack it; callers see a closed connection instead.
    */
-  #raiseFence(asked: Term): void {
-    if (asked > this.#log.fencedTerm) this.#log.fence(asked)
-    if (this.#role.kind === 'replica' || this.#role.term >= asked) return
+  #raiseFence(requestedTerm: Term): void {
+    if (requestedTerm > this.#log.fencedTerm) this.#log.fence(requestedTerm)
+    if (this.#role.kind === 'replica' || this.#role.term >= requestedTerm) return
     this.#role = { kind: 'replica' }
     this.#listener.closeCallers()
     this.#listener.demoted()
   }
 
-  #mayTakeFrom(led: Term): boolean {
-    return this.#role.kind === 'replica' && led >= this.#log.fencedTerm
+  #mayReplicateFrom(primaryTerm: Term): boolean {
+    return this.#role.kind === 'replica' && primaryTerm >= this.#log.fencedTerm
   }
 
   #rebuildTables(): void {
--- a/packages/stand-ins/src/backendServer/logRecord.ts
+++ b/packages/stand-ins/src/backendServer/logRecord.ts
@@ -1,19 +1,19 @@
-/** What a backend server's log is made of. */
+/** Types of the records in a backend server's log. */
 import type { Term } from '@nutmegcourse/shared'
 
 export type Change =
   | { readonly kind: 'put'; readonly key: string; readonly value: string }
   | { readonly kind: 'remove'; readonly key: string }
-  /** Events may repeat, so that a write that ran twice shows. */
+  /** Event ids need not be unique, so that a write that ran twice is visible. */
   | { readonly kind: 'addEvent'; readonly id: string; readonly value: string }
 
-/** One committed transaction, or the record without changes that opens a term. */
+/** One committed transaction, or the record without changes that starts a term. */
 export interface LogRecord {
   readonly term: Term
   readonly changes: readonly Change[]
 }
 
-/** The records of one term in a log: the offset of its last one. */
+/** The consecutive records of one term in a log, given by the offset of the last one. */
 export interface TermRun {
   readonly term: number
   readonly lastOffset: number
--- a/packages/stand-ins/src/backendServer/replicatedLog.ts
+++ b/packages/stand-ins/src/backendServer/replicatedLog.ts
@@ -1,4 +1,4 @@
-/** The log of one backend server, kept in a file so that a restarted process still has it. */
+/** The log of one backend server, persisted in a file so that it survives a process restart. */
 import { closeSync, existsSync, openSync, readFileSync, writeSync } from 'node:fs'
 import { logOffset, ORIGIN, term, type LogPosition, type Term } from '@nutmegcourse/shared'
 import type { LogRecord, TermRun } from './logRecord.js'
@@ -7,8 +7,8 @@
   { readonly record: LogRecord } | { readonly truncateTo: number } | { readonly fencedTerm: number }
 
 /**
- * Each change is written to the file before anyone learns of it. A killed process loses nothing of
- * that; a machine that loses power would, as nothing is forced to a disk.
+ * Each change is written to the file before it becomes visible, so a killed process loses no visible
+ * change. A power failure could lose some, because the file is not synced to disk.
  */
 export class ReplicatedLog {
   readonly #file: number | null
@@ -16,7 +16,7 @@
   readonly restored: boolean
   #fencedTerm = term(0)
 
-  /** `path` null keeps the log in memory alone. */
+  /** With a null `path`, the log is kept in memory only. */
   constructor(path: string | null) {
     this.restored = path !== null && existsSync(path)
     if (path !== null && this.restored) this.#restore(readFileSync(path, 'utf8'))
@@ -56,7 +56,7 @@
     this.#fencedTerm = fenced
   }
 
-  /** Where each term ends, oldest first. */
+  /** The last offset of each term, oldest term first. */
   termRuns(): readonly TermRun[] {
     const runs: TermRun[] = []
     this.#records.forEach((record, index) => {
@@ -74,7 +74,7 @@
     if (this.#file !== null) writeSync(this.#file, `${JSON.stringify(line)}\n`)
   }
 
-  /** A last line that a kill cut short was never told to anyone. */
+  /** Skips an incomplete last line: the process was killed before the change became visible. */
   #restore(text: string): void {
     for (const line of text.split('\n').slice(0, -1)) {
       const entry = JSON.parse(line) as JournalLine
@@ -86,8 +86,8 @@
 }
 
 /**
- * The offset up to which two logs are the same. A term has one primary, which only appends: so two
- * logs that both hold a record of a term at an offset agree on everything up to it.
+ * The offset up to which two logs are identical. A term has one primary, which only appends; two
+ * logs that both hold a record of the same term at an offset therefore agree up to that offset.
  */
 export function commonOffset(left: readonly TermRun[], right: readonly TermRun[]): number {
   const rightEnds = new Map(right.map(run => [run.term, run.lastOffset]))
--- a/packages/stand-ins/src/backendServer/replicationFollower.ts
+++ b/packages/stand-ins/src/backendServer/replicationFollower.ts
@@ -1,4 +1,4 @@
-/** The replica's side of replication: asks the primary of one term for what this log lacks. */
+/** The replica's side of replication: requests missing records from the primary of one term. */
 import { connect, type Socket } from 'node:net'
 import { serialize } from 'pg-protocol'
 import split2 from 'split2'
@@ -8,37 +8,42 @@
 
 const RECONNECT_MILLISECONDS = 50
 
-export interface ReplicationPlace {
+export interface ReplicationEndpoint {
   readonly address: string
   readonly port: number
 }
 
-/** How late a replica applies what it received; set at run time. */
+/** Delay before a replica applies received records; changed at run time by control statements. */
 export interface ReplicationLag {
   milliseconds: number
   paused: boolean
 }
 
-interface Arrival {
+interface PendingMessage {
   readonly dueAt: number
   readonly message: ReplicationMessage
 }
 
 export class ReplicationFollower {
   readonly term: Term
-  readonly place: ReplicationPlace
+  readonly endpoint: ReplicationEndpoint
   readonly #instance: DatabaseInstance
   readonly #lag: ReplicationLag
-  readonly #arrivals: Arrival[] = []
+  readonly #pendingMessages: PendingMessage[] = []
   #socket: Socket | null = null
   #timer: NodeJS.Timeout | null = null
   #reconnectTimer: NodeJS.Timeout | null = null
   #closed = false
 
-  constructor(instance: DatabaseInstance, led: Term, place: ReplicationPlace, lag: ReplicationLag) {
+  constructor(
+    instance: DatabaseInstance,
+    primaryTerm: Term,
+    endpoint: ReplicationEndpoint,
+    lag: ReplicationLag,
+  ) {
     this.#instance = instance
-    this.term = led
-    this.place = place
+    this.term = primaryTerm
+    this.endpoint = endpoint
     this.#lag = lag
     this.#connect()
   }
@@ -46,16 +51,20 @@
   close(): void {
     this.#closed = true
     this.#socket?.destroy()
-    this.#forgetArrivals()
+    this.#discardPendingMessages()
     if (this.#reconnectTimer !== null) clearTimeout(this.#reconnectTimer)
   }
 
-  /** Applies what is due by now; called also when the lag changes. */
+  /** Applies the messages that are due; also called when the lag changes. */
   applyDue(): void {
     if (this.#timer !== null) clearTimeout(this.#timer)
     this.#timer = null
     if (this.#lag.paused) return
-    for (let first = this.#arrivals[0]; first !== undefined; first = this.#arrivals[0]) {
+    for (
+      let first = this.#pendingMessages[0];
+      first !== undefined;
+      first = this.#pendingMessages[0]
+    ) {
       const wait = Math.min(first.dueAt - performance.now(), this.#lag.milliseconds)
       if (wait > 0) {
         this.#timer = setTimeout(() => {
@@ -63,17 +72,17 @@
         }, wait)
         return
       }
-      this.#arrivals.shift()
+      this.#pendingMessages.shift()
       if (!this.#apply(first.message)) this.#socket?.destroy()
     }
   }
 
   #connect(): void {
-    const socket = connect({ host: this.place.address, port: this.place.port, noDelay: true })
+    const socket = connect({ host: this.endpoint.address, port: this.endpoint.port, noDelay: true })
     this.#socket = socket
     socket.on('error', () => undefined)
     socket.once('close', () => {
-      this.#forgetArrivals()
+      this.#discardPendingMessages()
       if (this.#closed) return
       this.#reconnectTimer = setTimeout(() => {
         this.#connect()
@@ -91,7 +100,7 @@
     const lines = socket.pipe(split2((line: string) => JSON.parse(line) as ReplicationMessage))
     lines.on('error', () => socket.destroy())
     lines.on('data', (message: ReplicationMessage) => {
-      this.#arrivals.push({ dueAt: performance.now() + this.#lag.milliseconds, message })
+      this.#pendingMessages.push({ dueAt: performance.now() + this.#lag.milliseconds, message })
       if (this.#timer === null) this.applyDue()
     })
   }
@@ -109,10 +118,10 @@
     }
   }
 
-  /** Received and not applied counts as not held: a reconnect asks for it again. */
-  #forgetArrivals(): void {
+  /** Messages that were received but not applied are requested again after a reconnect. */
+  #discardPendingMessages(): void {
     if (this.#timer !== null) clearTimeout(this.#timer)
     this.#timer = null
-    this.#arrivals.length = 0
+    this.#pendingMessages.length = 0
   }
 }
--- a/packages/stand-ins/src/backendServer/replicationSource.ts
+++ b/packages/stand-ins/src/backendServer/replicationSource.ts
@@ -1,4 +1,4 @@
-/** The primary's side of replication: streams its log to one follower, one JSON value a line. */
+/** The primary's side of replication: streams its log to one follower as one JSON value per line. */
 import type { Socket } from 'node:net'
 import { z } from 'zod'
 import { term } from '@nutmegcourse/shared'
@@ -7,7 +7,7 @@
 
 export type ReplicationMessage =
   | { readonly kind: 'refused'; readonly reason: string }
-  /** The follower's log is the primary's up to `offset`; the records past it follow. */
+  /** The follower's log equals the primary's up to `offset`; the records after it are sent next. */
   | { readonly kind: 'accepted'; readonly offset: number }
   | {
       readonly kind: 'records'
@@ -15,7 +15,7 @@
       readonly records: readonly LogRecord[]
     }
 
-const RECORDS_A_MESSAGE = 256
+const RECORDS_PER_MESSAGE = 256
 
 const requestSchema = z.object({
   replication: z.literal('nutmeg'),
@@ -48,12 +48,12 @@
     }
   }
 
-  /** Sends what the follower lacks, as far as the connection takes it. */
+  /** Sends the records that the follower lacks until the socket needs to drain. */
   pump(): void {
     while (this.#next !== null && this.#next < this.#instance.logLength) {
       if (this.#socket.destroyed || this.#socket.writableNeedDrain) return
       const from = this.#next
-      const records = this.#instance.records(from, RECORDS_A_MESSAGE)
+      const records = this.#instance.records(from, RECORDS_PER_MESSAGE)
       this.#next += records.length
       this.#send({ kind: 'records', from, records })
     }
--- a/packages/stand-ins/src/backendServer/slots.ts
+++ b/packages/stand-ins/src/backendServer/slots.ts
@@ -1,26 +1,26 @@
-/** The statements that a backend server runs at once: the rest wait in order of arrival. */
+/** Limits how many statements a backend server runs concurrently; the others wait in arrival order. */
 export class Slots {
   readonly #count: number
   readonly #waiting: (() => void)[] = []
-  #taken = 0
-  #runs = 0
+  #inUse = 0
+  #startedCount = 0
 
   constructor(count: number) {
     this.#count = count
   }
 
-  /** Statements that got a slot so far. */
-  get runs(): number {
-    return this.#runs
+  /** Number of statements that have been given a slot since the start. */
+  get startedCount(): number {
+    return this.#startedCount
   }
 
   async run<Value>(work: () => Promise<Value>): Promise<Value> {
-    if (this.#taken >= this.#count) {
+    if (this.#inUse >= this.#count) {
       await new Promise<void>(resolve => this.#waiting.push(resolve))
     } else {
-      this.#taken += 1
+      this.#inUse += 1
     }
-    this.#runs += 1
+    this.#startedCount += 1
     try {
       return await work()
     } finally {
@@ -28,10 +28,10 @@
     }
   }
 
-  /** A slot goes from hand to hand, so that nobody who arrives later can take it first. */
+  /** Passes the slot directly to the first waiting statement, so that no later arrival can take it. */
   #release(): void {
     const next = this.#waiting.shift()
-    if (next === undefined) this.#taken -= 1
+    if (next === undefined) this.#inUse -= 1
     else next()
   }
 }
--- a/packages/stand-ins/src/backendServer/statementKinds.ts
+++ b/packages/stand-ins/src/backendServer/statementKinds.ts
@@ -1,4 +1,4 @@
-/** How the server treats each statement: as control, for the session alone, as a write or a read. */
+/** Classifies each statement kind as control, session, write or read. */
 import type { ControlStatement, Statement } from './statements.js'
 
 export type SessionStatement = Extract<
@@ -25,9 +25,9 @@
 export type ReadStatement = Exclude<Statement, ControlStatement | SessionStatement | WriteStatement>
 export type DataStatement = WriteStatement | ReadStatement
 
-type Treatment = 'control' | 'session' | 'write' | 'read'
+type StatementCategory = 'control' | 'session' | 'write' | 'read'
 
-const TREATMENTS: Readonly<Record<Statement['kind'], Treatment>> = {
+const CATEGORIES: Readonly<Record<Statement['kind'], StatementCategory>> = {
   position: 'control',
   fence: 'control',
   promote: 'control',
@@ -62,8 +62,8 @@
 }
 
 export const isControl = (statement: Statement): statement is ControlStatement =>
-  TREATMENTS[statement.kind] === 'control'
+  CATEGORIES[statement.kind] === 'control'
 export const isSession = (statement: Statement): statement is SessionStatement =>
-  TREATMENTS[statement.kind] === 'session'
+  CATEGORIES[statement.kind] === 'session'
 export const isWrite = (statement: DataStatement): statement is WriteStatement =>
-  TREATMENTS[statement.kind] === 'write'
+  CATEGORIES[statement.kind] === 'write'
--- a/packages/stand-ins/src/backendServer/statementRunner.ts
+++ b/packages/stand-ins/src/backendServer/statementRunner.ts
@@ -1,4 +1,4 @@
-/** Runs statements of one session against the instance: transactions, rows and SQL errors. */
+/** Runs the statements of one session against the instance: transactions, rows and SQL errors. */
 import { setTimeout as delay } from 'node:timers/promises'
 import { err, ok, type Result } from 'neverthrow'
 import type { PositionReport } from '@nutmegcourse/protocol'
@@ -20,7 +20,7 @@
 
 export type Row = readonly (string | null)[]
 
-/** Rows may be made one by one while they are sent. */
+/** Rows may be generated lazily while they are sent. */
 export interface Answer {
   readonly tag: (rowCount: number) => string
   readonly rows: Iterable<Row>
@@ -31,7 +31,7 @@
 export interface RunnerOptions {
   readonly instance: DatabaseInstance
   readonly slots: Slots
-  /** Time that each statement holds its slot. */
+  /** How long each statement occupies its slot. */
   readonly serviceMilliseconds: number
   readonly control: (statement: ControlStatement) => Outcome
 }
@@ -45,7 +45,8 @@
   message: 'canceling statement due to user request',
 }
 
-export const done = (tag: string, rows: Iterable<Row> = []): Outcome => ok({ tag: () => tag, rows })
+export const completed = (tag: string, rows: Iterable<Row> = []): Outcome =>
+  ok({ tag: () => tag, rows })
 const selected = (rows: Iterable<Row>): Outcome => ok({ tag: count => `SELECT ${count}`, rows })
 
 export function reportAnswer(report: PositionReport): Outcome {
@@ -76,7 +77,7 @@
     return this.#terminated
   }
 
-  /** The server closes this session: nothing of it may take effect any more. */
+  /** Called when the server closes this session: no later commit may take effect. */
   terminate(): void {
     this.#terminated = true
     this.cancel()
@@ -86,19 +87,19 @@
     this.#cancellation?.abort()
   }
 
-  /** Marks an open transaction as failed, as any error of the session does. */
+  /** Marks an explicit transaction as failed and discards an implicit one. */
   fail(): void {
     this.#failed = this.#explicit
     if (!this.#explicit) this.#transaction = null
   }
 
-  /** Opens the transaction that several statements of one message share. */
+  /** Starts the implicit transaction shared by several statements of one Query message. */
   beginImplicit(): void {
     this.#transaction ??= this.#newTransaction(this.#readOnly)
   }
 
-  endImplicit(): Outcome {
-    if (this.#explicit) return done('')
+  commitImplicit(): Outcome {
+    if (this.#explicit) return completed('')
     return this.#commit(this.#takeTransaction())
   }
 
@@ -109,31 +110,31 @@
   }
 
   async #runChecked(statement: Statement): Promise<Outcome> {
-    const ends = statement.kind === 'rollback' || statement.kind === 'commit'
-    if (this.#failed && !ends) return err(ABORTED_ERROR)
+    const endsTransaction = statement.kind === 'rollback' || statement.kind === 'commit'
+    if (this.#failed && !endsTransaction) return err(ABORTED_ERROR)
     if (isControl(statement)) return this.#options.control(statement)
-    return isSession(statement) ? this.#runSession(statement) : this.#inSlot(statement)
+    return isSession(statement) ? this.#runSession(statement) : this.#runInSlot(statement)
   }
 
   #runSession(statement: SessionStatement): Outcome {
     switch (statement.kind) {
       case 'setSessionAccess':
         this.#readOnly = statement.readOnly
-        return done('SET')
+        return completed('SET')
       case 'set':
         this.#settings.set(statement.name, statement.value)
-        return done('SET')
+        return completed('SET')
       case 'show':
         return selected([[this.#settings.get(statement.name) ?? '']])
       case 'discardAll':
         return this.#discardAll()
       case 'deallocate':
-        return done('DEALLOCATE')
+        return completed('DEALLOCATE')
       case 'begin':
         return this.#begin(statement.start)
       case 'rollback':
         this.#takeTransaction()
-        return done('ROLLBACK')
+        return completed('ROLLBACK')
       case 'commit':
         return this.#failed ? this.#rollbackFailed() : this.#commitExplicit()
       default:
@@ -147,7 +148,7 @@
     }
     this.#settings.clear()
     this.#readOnly = false
-    return done('DISCARD ALL')
+    return completed('DISCARD ALL')
   }
 
   #begin(start: 'readWrite' | 'readOnly' | 'default'): Outcome {
@@ -157,12 +158,12 @@
         start === 'default' ? this.#readOnly : start === 'readOnly',
       )
     }
-    return done('BEGIN')
+    return completed('BEGIN')
   }
 
   #rollbackFailed(): Outcome {
     this.#takeTransaction()
-    return done('ROLLBACK')
+    return completed('ROLLBACK')
   }
 
   #commitExplicit(): Outcome {
@@ -171,10 +172,10 @@
 
   #commit(transaction: Transaction | null): Outcome {
     if (this.#terminated) return err(CANCELLED_ERROR)
-    if (transaction === null) return done('COMMIT')
+    if (transaction === null) return completed('COMMIT')
     return transaction.finish().andThen(changes => {
-      if (changes.length === 0) return done('COMMIT')
-      return this.#options.instance.commit(changes).andThen(() => done('COMMIT'))
+      if (changes.length === 0) return completed('COMMIT')
+      return this.#options.instance.commit(changes).andThen(() => completed('COMMIT'))
     })
   }
 
@@ -190,13 +191,14 @@
     return new Transaction(this.#options.instance.tables, readOnly)
   }
 
-  async #inSlot(statement: DataStatement): Promise<Outcome> {
+  async #runInSlot(statement: DataStatement): Promise<Outcome> {
     const cancellation = new AbortController()
     this.#cancellation = cancellation
     try {
       return await this.#options.slots.run(async () => {
-        const span = this.#holdingTime(statement)
-        if (span > 0) await delay(span, undefined, { signal: cancellation.signal })
+        const slotMilliseconds = this.#slotMilliseconds(statement)
+        if (slotMilliseconds > 0)
+          await delay(slotMilliseconds, undefined, { signal: cancellation.signal })
         if (cancellation.signal.aborted) return err(CANCELLED_ERROR)
         return this.#runData(statement)
       })
@@ -208,12 +210,12 @@
     }
   }
 
-  #holdingTime(statement: DataStatement): number {
+  #slotMilliseconds(statement: DataStatement): number {
     const sleeping = statement.kind === 'sleep' ? statement.milliseconds : 0
     return this.#options.serviceMilliseconds + sleeping
   }
 
-  /** Outside a transaction a statement is one of its own, committed before its answer. */
+  /** A statement outside a transaction runs in its own, which commits before the answer. */
   #runData(statement: DataStatement): Outcome {
     const transaction = this.#transaction ?? this.#newTransaction(this.#readOnly)
     const outcome = this.#apply(statement, transaction)
@@ -238,23 +240,25 @@
 function write(statement: WriteStatement, transaction: Transaction): Outcome {
   switch (statement.kind) {
     case 'insertEntry':
-      return transaction.insert(statement.key, statement.value).andThen(() => done('INSERT 0 1'))
+      return transaction
+        .insert(statement.key, statement.value)
+        .andThen(() => completed('INSERT 0 1'))
     case 'upsertEntry':
       transaction.put(statement.key, statement.value)
-      return done('INSERT 0 1')
+      return completed('INSERT 0 1')
     case 'raiseEntry':
       return raise(statement.key, statement.value, transaction)
     case 'updateEntry':
-      if (transaction.entry(statement.key) === null) return done('UPDATE 0')
+      if (transaction.entry(statement.key) === null) return completed('UPDATE 0')
       transaction.put(statement.key, statement.value)
-      return done('UPDATE 1')
+      return completed('UPDATE 1')
     case 'deleteEntry':
-      if (transaction.entry(statement.key) === null) return done('DELETE 0')
+      if (transaction.entry(statement.key) === null) return completed('DELETE 0')
       transaction.remove(statement.key)
-      return done('DELETE 1')
+      return completed('DELETE 1')
     case 'insertEvent':
       transaction.addEvent(statement.id, statement.value)
-      return done('INSERT 0 1')
+      return completed('INSERT 0 1')
     default:
       return assertNever(statement)
   }
@@ -262,9 +266,9 @@
 
 function raise(key: string, value: string, transaction: Transaction): Outcome {
   const current = transaction.entry(key)
-  if (current !== null && Number(current) >= Number(value)) return done('INSERT 0 0')
+  if (current !== null && Number(current) >= Number(value)) return completed('INSERT 0 0')
   transaction.put(key, value)
-  return done('INSERT 0 1')
+  return completed('INSERT 0 1')
 }
 
 function readRows(
@@ -295,8 +299,8 @@
   }
 }
 
-/** Rows `n:xxx...`, each of about `bytes` bytes, made while they are sent. */
+/** Rows `n:xxx...` of about `bytes` bytes each, generated while they are sent. */
 function* generateRows(count: number, bytes: number): Generator<Row> {
-  const filling = 'x'.repeat(Math.max(0, bytes))
-  for (let row = 1; row <= count; row += 1) yield [`${row}:${filling}`]
+  const padding = 'x'.repeat(Math.max(0, bytes))
+  for (let row = 1; row <= count; row += 1) yield [`${row}:${padding}`]
 }
--- a/packages/stand-ins/src/backendServer/statements.ts
+++ b/packages/stand-ins/src/backendServer/statements.ts
@@ -1,11 +1,11 @@
-/** The statements that the stand-in knows, told apart by shape, and what each does. */
+/** The statements that the stand-in supports, recognised by a table of patterns. */
 import { term } from '@nutmegcourse/shared'
 import { countParameters, LITERAL, literalValue, withoutComments } from './statementText.js'
 import type { Column } from './wire/backendFrames.js'
 
 export type TransactionStart = 'readWrite' | 'readOnly' | 'default'
 
-/** One statement with its literals filled in. */
+/** A parsed statement with its literal values bound. */
 export type Statement =
   | { readonly kind: 'begin'; readonly start: TransactionStart }
   | { readonly kind: 'commit' }
@@ -17,12 +17,12 @@
   | { readonly kind: 'deallocate'; readonly name: string | null }
   | { readonly kind: 'insertEntry'; readonly key: string; readonly value: string }
   | { readonly kind: 'upsertEntry'; readonly key: string; readonly value: string }
-  /** Writes a number, unless the key has one as great already. */
+  /** Writes a number unless the stored one is equal or greater. */
   | { readonly kind: 'raiseEntry'; readonly key: string; readonly value: string }
   | { readonly kind: 'updateEntry'; readonly key: string; readonly value: string }
   | { readonly kind: 'deleteEntry'; readonly key: string }
   | { readonly kind: 'selectEntry'; readonly key: string }
-  /** Tells too which kind of server answered, so that callers can count replica reads themselves. */
+  /** Also returns the role of the answering server, so that callers can count replica reads. */
   | { readonly kind: 'selectEntryWithRole'; readonly key: string }
   | { readonly kind: 'selectEntries' }
   | { readonly kind: 'countEntries' }
@@ -34,7 +34,7 @@
   | { readonly kind: 'generateRows'; readonly count: number; readonly bytes: number }
   | ControlStatement
 
-/** Asked by the fleet or, for lag, by a test. Needs no slot. */
+/** Sent by the fleet or, for lag and counts, by a test. Does not occupy a slot. */
 export type ControlStatement =
   | { readonly kind: 'position' }
   | { readonly kind: 'fence'; readonly term: ReturnType<typeof term> }
@@ -47,15 +47,15 @@
     }
   | { readonly kind: 'setLag'; readonly milliseconds: number }
   | { readonly kind: 'pauseReplication'; readonly paused: boolean }
-  /** How many reads and writes the server has run since it started. */
+  /** Number of reads and writes that the server has run since it started. */
   | { readonly kind: 'countStatements' }
-  /** The most connections that stood at once, and how many more were refused. */
+  /** The peak number of concurrent connections and the number of refused ones. */
   | { readonly kind: 'countConnections' }
 
 interface Shape {
   readonly pattern: RegExp
   readonly columns: readonly Column[] | null
-  /** Null when a parameter that must have a value is null. */
+  /** Builds the statement from its captures; a capture is null if absent or a null parameter. */
   readonly read: (values: readonly (string | null)[]) => Statement
 }
 
@@ -71,7 +71,7 @@
 const REPORT = String.raw`select role, term, log_offset, fenced_term from `
 const MILLISECONDS_IN_SECOND = 1000
 
-const given = (value: string | null | undefined): string => value ?? ''
+const valueOrEmpty = (value: string | null | undefined): string => value ?? ''
 
 function shape(pattern: string, columns: Shape['columns'], read: Shape['read']): Shape {
   const flexible = pattern.replaceAll(', ', String.raw`\s*,\s*`).replaceAll(' ', String.raw`\s+`)
@@ -83,28 +83,32 @@
 
 const SHAPES: readonly Shape[] = [
   shape(String.raw`${REPORT}platform_position\(\)`, REPORT_COLUMNS, () => ({ kind: 'position' })),
-  shape(String.raw`${REPORT}platform_fence\((\d+)\)`, REPORT_COLUMNS, ([asked]) => ({
+  shape(String.raw`${REPORT}platform_fence\((\d+)\)`, REPORT_COLUMNS, ([requestedTerm]) => ({
     kind: 'fence',
-    term: term(Number(asked)),
+    term: term(Number(requestedTerm)),
   })),
-  shape(String.raw`${REPORT}platform_promote\((\d+)\)`, REPORT_COLUMNS, ([asked]) => ({
+  shape(String.raw`${REPORT}platform_promote\((\d+)\)`, REPORT_COLUMNS, ([requestedTerm]) => ({
     kind: 'promote',
-    term: term(Number(asked)),
+    term: term(Number(requestedTerm)),
   })),
   shape(
     String.raw`${REPORT}platform_follow\((\d+), '([^']+)', (\d+)\)`,
     REPORT_COLUMNS,
-    ([led, address, port]) => ({
+    ([primaryTerm, address, port]) => ({
       kind: 'follow',
-      term: term(Number(led)),
-      address: given(address),
+      term: term(Number(primaryTerm)),
+      address: valueOrEmpty(address),
       port: Number(port),
     }),
   ),
-  shape(String.raw`select platform_lag\((\d+)\)`, [bigintColumn('platform_lag')], ([span]) => ({
-    kind: 'setLag',
-    milliseconds: Number(span),
-  })),
+  shape(
+    String.raw`select platform_lag\((\d+)\)`,
+    [bigintColumn('platform_lag')],
+    ([milliseconds]) => ({
+      kind: 'setLag',
+      milliseconds: Number(milliseconds),
+    }),
+  ),
   shape(
     String.raw`select platform_pause_replication\((true|false)\)`,
     [textColumn('platform_pause_replication')],
@@ -129,55 +133,56 @@
   })),
   shape('set session characteristics as transaction (read only|read write)', null, ([access]) => ({
     kind: 'setSessionAccess',
-    readOnly: /only/i.test(given(access)),
+    readOnly: /only/i.test(valueOrEmpty(access)),
   })),
   shape(String.raw`set (?:session |local )?([a-z_.]+)(?: to | ?= ?)(.+)`, null, values => ({
     kind: 'set',
-    name: given(values[0]).toLowerCase(),
-    value: given(values[1]).replace(/^'(.*)'$/, '$1'),
+    name: valueOrEmpty(values[0]).toLowerCase(),
+    value: valueOrEmpty(values[1]).replace(/^'(.*)'$/, '$1'),
   })),
   shape('show ([a-z_.]+)', [textColumn('setting')], ([name]) => ({
     kind: 'show',
-    name: given(name).toLowerCase(),
+    name: valueOrEmpty(name).toLowerCase(),
   })),
   shape('discard all', null, () => ({ kind: 'discardAll' })),
   shape(String.raw`deallocate (?:prepare )?("?[\w]+"?)`, null, ([name]) => ({
     kind: 'deallocate',
-    name: given(name).toLowerCase() === 'all' ? null : given(name).replaceAll('"', ''),
+    name:
+      valueOrEmpty(name).toLowerCase() === 'all' ? null : valueOrEmpty(name).replaceAll('"', ''),
   })),
   shape(INSERT_ENTRY, null, ([key, value]) => ({
     kind: 'insertEntry',
-    key: given(key),
-    value: given(value),
+    key: valueOrEmpty(key),
+    value: valueOrEmpty(value),
   })),
   shape(
     String.raw`${INSERT_ENTRY} on conflict ?\(key\) do update set value ?= ?excluded.value`,
     null,
-    ([key, value]) => ({ kind: 'upsertEntry', key: given(key), value: given(value) }),
+    ([key, value]) => ({ kind: 'upsertEntry', key: valueOrEmpty(key), value: valueOrEmpty(value) }),
   ),
   shape(
     String.raw`${INSERT_ENTRY} on conflict ?\(key\) do update set value ?= ?excluded.value where entries.value::bigint < excluded.value::bigint`,
     null,
-    ([key, value]) => ({ kind: 'raiseEntry', key: given(key), value: given(value) }),
+    ([key, value]) => ({ kind: 'raiseEntry', key: valueOrEmpty(key), value: valueOrEmpty(value) }),
   ),
   shape(String.raw`update entries set value ?= ?${L} where key ?= ?${L}`, null, ([value, key]) => ({
     kind: 'updateEntry',
-    key: given(key),
-    value: given(value),
+    key: valueOrEmpty(key),
+    value: valueOrEmpty(value),
   })),
   shape(String.raw`delete from entries where key ?= ?${L}`, null, ([key]) => ({
     kind: 'deleteEntry',
-    key: given(key),
+    key: valueOrEmpty(key),
   })),
   shape(
     String.raw`select value from entries where key ?= ?${L}`,
     [textColumn('value')],
-    ([key]) => ({ kind: 'selectEntry', key: given(key) }),
+    ([key]) => ({ kind: 'selectEntry', key: valueOrEmpty(key) }),
   ),
   shape(
     String.raw`select value, platform_role\(\) from entries where key ?= ?${L}`,
     [textColumn('value'), textColumn('platform_role')],
-    ([key]) => ({ kind: 'selectEntryWithRole', key: given(key) }),
+    ([key]) => ({ kind: 'selectEntryWithRole', key: valueOrEmpty(key) }),
   ),
   shape('select key, value from entries', [textColumn('key'), textColumn('value')], () => ({
     kind: 'selectEntries',
@@ -187,8 +192,8 @@
   })),
   shape(String.raw`insert into events ?\(id, value\) values ?\(${L}, ${L}\)`, null, values => ({
     kind: 'insertEvent',
-    id: given(values[0]),
-    value: given(values[1]),
+    id: valueOrEmpty(values[0]),
+    value: valueOrEmpty(values[1]),
   })),
   shape(
     String.raw`select id, value from events(?: where id ?= ?${L})?`,
@@ -214,7 +219,7 @@
   })),
 ]
 
-/** A statement's shape with its literals still open: what Parse keeps. */
+/** A recognised statement whose literals are not bound yet; Parse stores it. */
 export class ParsedStatement {
   readonly parameterCount: number
   readonly #shape: Shape
@@ -243,12 +248,12 @@
   }
 }
 
-/** Null when no shape fits; an empty text is the caller's to handle. */
+/** Null when no pattern matches; the caller handles an empty text. */
 export function parseStatement(text: string): ParsedStatement | null {
-  const bare = withoutComments(text).replace(/;\s*$/, '')
+  const stripped = withoutComments(text).replace(/;\s*$/, '')
   for (const candidate of SHAPES) {
-    const match = candidate.pattern.exec(bare)
-    if (match !== null) return new ParsedStatement(bare, candidate, match.slice(1))
+    const match = candidate.pattern.exec(stripped)
+    if (match !== null) return new ParsedStatement(stripped, candidate, match.slice(1))
   }
   return null
 }
--- a/packages/stand-ins/src/backendServer/tables.ts
+++ b/packages/stand-ins/src/backendServer/tables.ts
@@ -1,4 +1,4 @@
-/** The data of a backend server: what its log makes of two tables. */
+/** The two tables of a backend server, built by applying its log. */
 import { assertNever } from '@nutmegcourse/shared'
 import type { Change } from './logRecord.js'
 
@@ -28,9 +28,9 @@
 
   #addEvent(event: EventRow): void {
     this.events.push(event)
-    const same = this.#eventsById.get(event.id)
-    if (same === undefined) this.#eventsById.set(event.id, [event])
-    else same.push(event)
+    const sameId = this.#eventsById.get(event.id)
+    if (sameId === undefined) this.#eventsById.set(event.id, [event])
+    else sameId.push(event)
   }
 
   #applyOne(change: Change): void {
--- a/packages/stand-ins/src/backendServer/transaction.ts
+++ b/packages/stand-ins/src/backendServer/transaction.ts
@@ -1,4 +1,4 @@
-/** An open transaction of one session: what it changed so far, seen by itself alone. */
+/** An open transaction of one session with its uncommitted changes, which only it sees. */
 import { err, ok, type Result } from 'neverthrow'
 import type { Change } from './logRecord.js'
 import type { EventRow, Tables } from './tables.js'
@@ -9,13 +9,13 @@
   message: `duplicate key value violates unique constraint "entries_pkey": ${key}`,
 })
 
-/** Read committed: it sees what others committed and what it changed itself. */
+/** Isolation level read committed: reads see committed data and the changes of this transaction. */
 export class Transaction {
   readonly readOnly: boolean
   readonly #tables: Tables
   readonly #changes: Change[] = []
   readonly #inserted = new Set<string>()
-  readonly #own = new Map<string, string | null>()
+  readonly #ownEntries = new Map<string, string | null>()
   readonly #ownEvents: EventRow[] = []
 
   constructor(tables: Tables, readOnly: boolean) {
@@ -24,16 +24,16 @@
   }
 
   entry(key: string): string | null {
-    const own = this.#own.get(key)
+    const own = this.#ownEntries.get(key)
     return own !== undefined ? own : (this.#tables.entries.get(key) ?? null)
   }
 
   entries(): readonly (readonly [string, string])[] {
-    const all = new Map<string, string | null>([...this.#tables.entries, ...this.#own])
+    const all = new Map<string, string | null>([...this.#tables.entries, ...this.#ownEntries])
     return [...all].flatMap(([key, value]) => (value === null ? [] : [[key, value] as const]))
   }
 
-  /** `id` null: all of them. */
+  /** With a null `id`, all events. */
   events(id: string | null): readonly EventRow[] {
     if (id === null) return [...this.#tables.events, ...this.#ownEvents]
     return [...this.#tables.eventsOf(id), ...this.#ownEvents.filter(event => event.id === id)]
@@ -47,12 +47,12 @@
   }
 
   put(key: string, value: string): void {
-    this.#own.set(key, value)
+    this.#ownEntries.set(key, value)
     this.#changes.push({ kind: 'put', key, value })
   }
 
   remove(key: string): void {
-    this.#own.set(key, null)
+    this.#ownEntries.set(key, null)
     this.#changes.push({ kind: 'remove', key })
   }
 
@@ -61,9 +61,9 @@
     this.#changes.push({ kind: 'addEvent', id, value })
   }
 
-  /** What to commit; an error when another transaction took a key that this one inserted. */
+  /** The changes to commit; an error when another transaction has committed an inserted key. */
   finish(): Result<readonly Change[], SqlError> {
-    const taken = [...this.#inserted].find(key => this.#tables.entries.has(key))
-    return taken === undefined ? ok(this.#changes) : err(duplicateKey(taken))
+    const duplicate = [...this.#inserted].find(key => this.#tables.entries.has(key))
+    return duplicate === undefined ? ok(this.#changes) : err(duplicateKey(duplicate))
   }
 }
--- a/packages/stand-ins/src/backendServer/wire/backendFrames.ts
+++ b/packages/stand-ins/src/backendServer/wire/backendFrames.ts
@@ -1,4 +1,4 @@
-/** Builds what a PostgreSQL server sends (protocol 3.0). */
+/** Encodes the messages that a PostgreSQL server sends (protocol 3.0). */
 
 export type TransactionStatus = 'I' | 'T' | 'E'
 
--- a/packages/stand-ins/src/backendServer/wire/frontendMessages.ts
+++ b/packages/stand-ins/src/backendServer/wire/frontendMessages.ts
@@ -1,4 +1,4 @@
-/** Reads what a PostgreSQL client sends (protocol 3.0) out of a stream of bytes. */
+/** Decodes the messages that a PostgreSQL client sends (protocol 3.0) from a byte stream. */
 
 export type PreparedTarget = 'statement' | 'portal'
 
@@ -30,22 +30,23 @@
 const HEADER_BYTES = 5
 const MAXIMUM_MESSAGE_BYTES = 64 * 1024 * 1024
 
-/** A message that is no PostgreSQL message; the connection can not go on. */
+/** The bytes are not a valid PostgreSQL message; the connection cannot continue. */
 export class MalformedMessage extends Error {}
 
 export class FrontendReader {
   #buffer: Buffer = Buffer.alloc(0)
   #started = false
 
-  /** Adds bytes; answers every message that is whole by now. */
+  /** Adds received bytes and returns every message that is now complete. */
   push(chunk: Buffer): readonly FrontendMessage[] {
     this.#buffer = this.#buffer.length === 0 ? chunk : Buffer.concat([this.#buffer, chunk])
     const messages: FrontendMessage[] = []
-    for (let next = this.#take(); next !== null; next = this.#take()) messages.push(next)
+    for (let next = this.#takeMessage(); next !== null; next = this.#takeMessage())
+      messages.push(next)
     return messages
   }
 
-  #take(): FrontendMessage | null {
+  #takeMessage(): FrontendMessage | null {
     const prefix = this.#started ? HEADER_BYTES : LENGTH_BYTES
     if (this.#buffer.length < prefix) return null
     const length = this.#buffer.readInt32BE(prefix - LENGTH_BYTES)
@@ -66,14 +67,14 @@
 
 class BodyReader {
   readonly #body: Buffer
-  #at = 0
+  #offset = 0
 
   constructor(body: Buffer) {
     this.#body = body
   }
 
   get done(): boolean {
-    return this.#at >= this.#body.length
+    return this.#offset >= this.#body.length
   }
 
   int16(): number {
@@ -85,16 +86,16 @@
   }
 
   bytes(count: number): Buffer {
-    if (this.#at + count > this.#body.length) throw new MalformedMessage('message too short')
-    this.#at += count
-    return this.#body.subarray(this.#at - count, this.#at)
+    if (this.#offset + count > this.#body.length) throw new MalformedMessage('message too short')
+    this.#offset += count
+    return this.#body.subarray(this.#offset - count, this.#offset)
   }
 
   text(): string {
-    const end = this.#body.indexOf(0, this.#at)
+    const end = this.#body.indexOf(0, this.#offset)
     if (end < 0) throw new MalformedMessage('text without its end')
-    const text = this.#body.toString('utf8', this.#at, end)
-    this.#at = end + 1
+    const text = this.#body.toString('utf8', this.#offset, end)
+    this.#offset = end + 1
     return text
   }
 }
@@ -142,14 +143,14 @@
   return body.bytes(1).toString() === 'S' ? 'statement' : 'portal'
 }
 
-/** Values in the binary format are read as text too: this server knows texts only. */
+/** Ignores the format codes: values in binary format are also read as text. */
 function readBind(body: BodyReader): FrontendMessage {
   const portal = body.text()
   const statement = body.text()
   const formats = body.int16()
   body.bytes(2 * formats)
   const values: (string | null)[] = []
-  for (let left = body.int16(); left > 0; left -= 1) {
+  for (let remaining = body.int16(); remaining > 0; remaining -= 1) {
     const length = body.int32()
     values.push(length < 0 ? null : body.bytes(length).toString('utf8'))
   }
--- a/packages/stand-ins/src/hostList/hostListServer.ts
+++ b/packages/stand-ins/src/hostList/hostListServer.ts
@@ -1,4 +1,4 @@
-/** The platform's host list as a stand-in: it tells the truth late, by a lag that a setting gives. */
+/** Stand-in for the platform's host list; changes become visible after a configurable lag. */
 import type { Server, Socket } from 'node:net'
 import { z } from 'zod'
 import type { HostListResult, ListedHost } from '@nutmegcourse/protocol'
@@ -7,14 +7,14 @@
 export const hostListSettingsSchema = z.strictObject({
   address: z.string().default('127.0.0.1'),
   port: z.int().default(0),
-  /** Zones that see hosts at addresses of their own: each gets a port on which it asks. */
+  /** Zones that reach hosts at other addresses; each gets its own port for queries. */
   zones: z.array(z.string()).default([]),
-  /** Age of what `hosts.list` tells. */
+  /** How long a change takes to appear in `hosts.list`. */
   lagMilliseconds: z.number().min(0).default(0),
 })
 export type HostListSettings = z.infer<typeof hostListSettingsSchema>
 
-/** Where one zone reaches a host, when that differs from the host's own address (a relay between). */
+/** Where one zone reaches a host, if not at the host's own address (because of a relay between). */
 export interface ZoneRoute {
   readonly zone: string
   readonly hostId: string
@@ -22,12 +22,12 @@
   readonly port: number
 }
 
-/** `hosts.set`: adds or replaces hosts, removes some, and adds routes of zones. */
+/** Parameters of `hosts.set`: hosts to add or replace, hosts to remove and zone routes to add. */
 export interface HostListChange {
   readonly hosts?: readonly ListedHost[]
   readonly removedIds?: readonly string[]
   readonly routes?: readonly ZoneRoute[]
-  /** Takes effect at once, whatever the lag: the first entries of a deployment. */
+  /** Ignores the lag; used for the first entries of a deployment. */
   readonly immediate?: boolean
 }
 
@@ -36,7 +36,7 @@
 )
 
 export interface HostListPorts {
-  /** Orders, and the list with the hosts' own addresses. */
+  /** For `hosts.set`, and for `hosts.list` with the hosts' own addresses. */
   readonly port: number
   readonly zonePorts: Readonly<Record<string, number>>
 }
@@ -67,14 +67,14 @@
     for (const socket of this.#sockets) socket.destroy()
   }
 
-  async #listen(wantedPort: number, zone: string | null): Promise<number> {
-    const { server, port } = await listen(this.#settings.address, wantedPort, socket => {
+  async #listen(requestedPort: number, zone: string | null): Promise<number> {
+    const { server, port } = await listen(this.#settings.address, requestedPort, socket => {
       this.#sockets.add(socket)
       socket.once('close', () => this.#sockets.delete(socket))
       new JsonRpcConnection(socket, {
         'hosts.list': () => this.#list(zone),
         'hosts.set': params => {
-          this.#accept(changeSchema.parse(params))
+          this.#scheduleChange(changeSchema.parse(params))
           return {}
         },
       })
@@ -83,7 +83,7 @@
     return port
   }
 
-  #accept(change: HostListChange): void {
+  #scheduleChange(change: HostListChange): void {
     if (change.immediate === true || this.#settings.lagMilliseconds === 0) {
       this.#apply(change)
       return
--- a/packages/stand-ins/src/hostPlatform/memoryGroup.ts
+++ b/packages/stand-ins/src/hostPlatform/memoryGroup.ts
@@ -1,7 +1,7 @@
 /**
- * A group of backend servers with synchronous replication, for tests: terms, log positions, bounded
- * reads, pause, step-down and promotion, connection limits, and the ways in which servers fail. It
- * also judges: what runs where, and whether a promoted server holds every acknowledged write.
+ * A group of backend servers with synchronous replication in memory, for tests: terms, log positions,
+ * bounded reads, pause, step-down, promotion, connection limits and server faults. It also records
+ * which statement ran where and checks that a promoted server holds every acknowledged write.
  */
 import {
   isAtOrPast,
@@ -22,15 +22,15 @@
   readonly service: string
   role: 'primary' | 'replica'
   log: LoggedWrite[]
-  /** The term in which it last led or was told of a leader. */
+  /** The latest term in which it was primary or received the log of a primary. */
   term: number
-  /** 0 when it receives. */
+  /** The term for which replication to this server is paused; 0 when it is not paused. */
   pausedFor: number
-  /** It receives nothing though nobody paused it. */
+  /** Fault: the server receives no replicated writes although it is not paused. */
   isDeaf: boolean
-  /** Refuses connections. */
+  /** Fault: the server refuses connections. */
   isDown: boolean
-  /** Answers nothing and keeps connections open. */
+  /** Fault: the server does not answer and keeps connections open. */
   isSilent: boolean
   connections: number
 }
@@ -39,7 +39,7 @@
   readonly service: string
   readonly servers: readonly BackendServerId[]
   readonly connectionLimit?: number
-  /** From an accepted promotion until it takes effect. */
+  /** Delay between accepting a promotion and completing it. */
   readonly promotionMilliseconds?: number
 }
 
@@ -52,13 +52,13 @@
   #newestToken = 0
   /** Acknowledged writes, in order. */
   readonly acknowledged: LoggedWrite[] = []
-  /** Every statement that ran, as `server:id`. */
+  /** Every executed statement, as `server:id`. */
   readonly ran: string[] = []
-  /** In whose name each of them ran: the customer that its connection was opened for. */
+  /** The customer for whom the connection of each executed statement was opened. */
   readonly ranFor: { readonly id: string; readonly customer: CustomerName | null }[] = []
-  /** Broken promises of the platform's contract, as sentences. */
+  /** Violations of the platform's contract, one message each. */
   readonly violations: string[] = []
-  /** Writes that stand twice in one log. */
+  /** Ids of writes that occur more than once in one log. */
   readonly doubled: string[] = []
   readonly #positions = new Map<string, LogPosition>()
   promotions = 0
@@ -89,7 +89,7 @@
     return primary
   }
 
-  /** Null between a step down and the next promotion. */
+  /** Null between a step-down and the next promotion. */
   get leader(): MemoryServer | null {
     return [...this.servers.values()].find(server => server.role === 'primary') ?? null
   }
@@ -100,42 +100,42 @@
     return server
   }
 
-  endOf(server: MemoryServer): LogPosition {
+  lastPosition(server: MemoryServer): LogPosition {
     return server.log.at(-1)?.position ?? logPosition(1, 0)
   }
 
-  /** Writes at a primary; true once one replica has it, false when none receives. */
+  /** Appends writes at a primary; false when no replica receives them. */
   commit(server: MemoryServer, ids: readonly string[]): boolean {
-    const end = this.endOf(server)
+    const end = this.lastPosition(server)
     const position = logPosition(server.term, end.offset + 1)
     const writes = ids.map(id => ({ id, position }))
     server.log.push(...writes)
     for (const { id } of writes) {
-      if (this.#positions.has(id) && this.#isTwice(server, id)) this.doubled.push(id)
+      if (this.#positions.has(id) && this.#isDuplicate(server, id)) this.doubled.push(id)
       this.#positions.set(id, position)
     }
-    let isHeld = false
+    let isReplicated = false
     for (const other of this.servers.values()) {
       if (other === server || other.isDown || other.isSilent) continue
       if (other.pausedFor !== 0 || other.isDeaf) continue
-      this.#receive(other, server, writes.length)
-      isHeld = true
+      this.#replicate(other, server, writes.length)
+      isReplicated = true
     }
-    if (isHeld) this.acknowledged.push(...writes)
-    return isHeld
+    if (isReplicated) this.acknowledged.push(...writes)
+    return isReplicated
   }
 
-  /** Where a write stands in the log; null when none ran under the id. */
+  /** The log position of a write; null when no write with this id ran. */
   positionOf(id: string): LogPosition | null {
     return this.#positions.get(id) ?? null
   }
 
-  /** The server stops at once; its log stays. */
+  /** Stops the server immediately; its log is kept. */
   crash(server: MemoryServer): void {
     server.isDown = true
   }
 
-  /** It is back with its log; as a replica, with the leader's, if another server leads by now. */
+  /** Restarts a crashed server with its log; a replica takes the log of the current primary, if any. */
   comeBack(server: MemoryServer): void {
     if (server.isDown) server.pausedFor = 0
     server.isDown = false
@@ -146,8 +146,8 @@
     server.term = leader.term
   }
 
-  /** Usually the other lacks just the last writes; else it takes the whole log over. */
-  #receive(other: MemoryServer, from: MemoryServer, count: number): void {
+  /** Appends only the last writes when the rest of the log matches, otherwise copies the whole log. */
+  #replicate(other: MemoryServer, from: MemoryServer, count: number): void {
     const before = from.log.length - count
     const isNext = other.log.length === before && other.log.at(-1) === from.log[before - 1]
     if (isNext) other.log.push(...from.log.slice(before))
@@ -155,7 +155,7 @@
     other.term = from.term
   }
 
-  #isTwice(server: MemoryServer, id: string): boolean {
+  #isDuplicate(server: MemoryServer, id: string): boolean {
     return server.log.filter(write => write.id === id).length > 1
   }
 
@@ -167,7 +167,7 @@
     if (server.role === 'primary' && server.term < forTerm) server.role = 'replica'
   }
 
-  /** False when the token is older than one seen, or the server does not run. */
+  /** False when a newer token has been used, or the server is unknown or down. */
   promote(id: BackendServerId, token: number): boolean {
     const server = this.servers.get(id)
     if (token < this.#newestToken) return false
@@ -175,16 +175,16 @@
     if (server === undefined || server.isDown) return false
     if (server.role === 'primary') return true
     setTimeout(() => {
-      this.#takeEffect(server, token)
+      this.#completePromotion(server, token)
     }, this.#promotionMilliseconds)
     return true
   }
 
-  #takeEffect(server: MemoryServer, token: number): void {
+  #completePromotion(server: MemoryServer, token: number): void {
     if (token < this.#newestToken || server.role === 'primary') return
     this.#term += 1
     this.promotions += 1
-    this.#judge(server)
+    this.#checkAcknowledgedWrites(server)
     for (const other of this.servers.values()) {
       other.role = 'replica'
       if (other.pausedFor <= this.#term) other.pausedFor = 0
@@ -196,15 +196,16 @@
     server.term = this.#term
   }
 
-  #judge(promoted: MemoryServer): void {
-    const held = new Set(promoted.log.map(({ id }) => id))
+  #checkAcknowledgedWrites(promoted: MemoryServer): void {
+    const promotedIds = new Set(promoted.log.map(({ id }) => id))
     for (const { id } of this.acknowledged) {
-      if (!held.has(id)) this.violations.push(`acknowledged write ${id} is not in the promoted log`)
+      if (!promotedIds.has(id))
+        this.violations.push(`acknowledged write ${id} is not in the promoted log`)
     }
   }
 
-  holds(server: MemoryServer, after: LogPosition): boolean {
-    return isAtOrPast(logPosition(server.term, this.endOf(server).offset), after)
+  hasReached(server: MemoryServer, after: LogPosition): boolean {
+    return isAtOrPast(logPosition(server.term, this.lastPosition(server).offset), after)
   }
 
   termOf(server: MemoryServer): ReturnType<typeof term> {
--- a/packages/stand-ins/src/hostPlatform/memoryLink.ts
+++ b/packages/stand-ins/src/hostPlatform/memoryLink.ts
@@ -1,4 +1,4 @@
-/** Connections to the servers of a `MemoryGroup`, behind the product's port. */
+/** In-memory implementation of the product's backend connections, for a `MemoryGroup`. */
 import { err, ok, type Result } from 'neverthrow'
 import type {
   BackendAddress,
@@ -16,8 +16,8 @@
 
 type Reply = Result<BackendReply, LinkFailure>
 
-/** Longer than any test: the answer of a silent server. */
-const never = <Value>(): Promise<Value> => new Promise(() => undefined)
+/** The answer of a server that does not respond. */
+const neverSettles = <Value>(): Promise<Value> => new Promise(() => undefined)
 
 interface OpenTransaction {
   readonly isReadOnly: boolean
@@ -35,7 +35,7 @@
   #transaction: OpenTransaction | null = null
   #hasFailed = false
   #closed: (() => void) | null = null
-  readonly #open = new Set<(reply: Reply) => void>()
+  readonly #pendingReplies = new Set<(reply: Reply) => void>()
 
   readonly #unreachable: ReadonlySet<BackendServerId>
 
@@ -60,9 +60,9 @@
   run(command: BackendCommand): Promise<Reply> {
     if (!this.isOpen) return Promise.resolve(err({ kind: 'connectionLost' }))
     return new Promise(resolve => {
-      this.#open.add(resolve)
+      this.#pendingReplies.add(resolve)
       void this.#answer(command).then(reply => {
-        if (this.#open.delete(resolve)) resolve(reply)
+        if (this.#pendingReplies.delete(resolve)) resolve(reply)
       })
     })
   }
@@ -71,8 +71,8 @@
     if (!this.isOpen) return
     this.isOpen = false
     this.#server.connections -= 1
-    for (const resolve of this.#open) resolve(err({ kind: 'connectionLost' }))
-    this.#open.clear()
+    for (const resolve of this.#pendingReplies) resolve(err({ kind: 'connectionLost' }))
+    this.#pendingReplies.clear()
     this.#closed?.()
   }
 
@@ -81,18 +81,18 @@
   }
 
   async #answer(command: BackendCommand): Promise<Reply> {
-    await this.#work()
-    if (this.#isUnheard()) return never()
+    await this.#simulateWork()
+    if (this.#isUnresponsive()) return neverSettles()
     if (this.#server.isDown) {
       this.close()
       return err({ kind: 'connectionLost' })
     }
     const fault = this.#hooks.onCommand?.(this.#server.id, command) ?? 'none'
-    if (fault === 'lostBefore') return never()
+    if (fault === 'lostBefore') return neverSettles()
     const reply = this.#run(command)
-    await this.#work()
-    if (this.#isUnheard()) return never()
-    if (fault === 'lostAfter') return never()
+    await this.#simulateWork()
+    if (this.#isUnresponsive()) return neverSettles()
+    if (fault === 'lostAfter') return neverSettles()
     if (fault === 'cutAfter') {
       this.close()
       return err({ kind: 'connectionLost' })
@@ -101,13 +101,13 @@
     return ok(reply)
   }
 
-  /** Nothing that it says arrives. */
-  #isUnheard(): boolean {
+  /** Answers of the server do not arrive at this host. */
+  #isUnresponsive(): boolean {
     return this.#server.isSilent || this.#unreachable.has(this.#server.id)
   }
 
-  /** Half of the work comes before the effect and half behind it, so that faults meet it on both sides. */
-  async #work(): Promise<void> {
+  /** Called before and after the effect, for half of the time each, so that faults can occur on both sides of it. */
+  async #simulateWork(): Promise<void> {
     const { workMilliseconds = 0 } = this.#hooks
     if (workMilliseconds === 0) await Promise.resolve()
     else await new Promise(resolve => setTimeout(resolve, workMilliseconds / 2))
@@ -152,7 +152,7 @@
   }
 
   #begin(command: Extract<BackendCommand, { kind: 'begin' }>): BackendReply {
-    if (command.after !== null && !this.#group.holds(this.#server, command.after)) {
+    if (command.after !== null && !this.#group.hasReached(this.#server, command.after)) {
       return this.#refused('behind')
     }
     if (!command.readOnly && this.#server.role !== 'primary') return this.#refused('notPrimary')
@@ -161,15 +161,15 @@
   }
 
   #runForwarded(command: Extract<BackendCommand, { kind: 'forward' | 'execute' }>): BackendReply {
-    if (command.after !== null && !this.#group.holds(this.#server, command.after)) {
+    if (command.after !== null && !this.#group.hasReached(this.#server, command.after)) {
       return this.#refused('behind')
     }
     const effect = this.#effectOf(command)
     if (effect === null) return this.#refused('unknownStatement')
     const transaction = this.#transaction
-    const hasLostLead =
+    const isNoLongerPrimary =
       transaction !== null && !transaction.isReadOnly && this.#server.role !== 'primary'
-    if (hasLostLead) {
+    if (isNoLongerPrimary) {
       this.#hasFailed = true
       return this.#refused('notPrimary')
     }
@@ -177,7 +177,7 @@
     if (effect === 'write' && this.#server.role !== 'primary') return this.#refused('notPrimary')
     this.#group.ran.push(`${this.#server.id}:${command.id}`)
     this.#group.ranFor.push({ id: command.id, customer: this.customer })
-    if (effect === 'read') return this.#done(`read-${command.id}`, [this.#rowOf()])
+    if (effect === 'read') return this.#done(`read-${command.id}`, [this.#lastWriteId()])
     if (transaction !== null) {
       transaction.writes.push(command.id)
       return this.#done(`write-${command.id}`)
@@ -185,8 +185,8 @@
     return this.#acknowledge([command.id])
   }
 
-  /** What a read returns: the last write of the server's log, so that tests see how fresh it was. */
-  #rowOf(): string {
+  /** The row that a read returns: the last write in the server's log, so that tests can check freshness. */
+  #lastWriteId(): string {
     return this.#server.log.at(-1)?.id ?? 'nothing'
   }
 
@@ -211,7 +211,7 @@
 
   #report(): BackendReply {
     const { role, pausedFor } = this.#server
-    const end = this.#group.endOf(this.#server)
+    const end = this.#group.lastPosition(this.#server)
     const row = `${role} ${String(this.#server.term)} ${String(end.term)}.${String(end.offset)} ${String(pausedFor)}`
     return this.#done(null, [row])
   }
@@ -230,23 +230,26 @@
       : this.#transaction === null
         ? 'idle'
         : 'open'
-    return { status, position: this.#group.endOf(this.#server) }
+    return { status, position: this.#group.lastPosition(this.#server) }
   }
 }
 
-/** What becomes of one command: it runs and is answered, or not. */
+/**
+ * Fault of one command: `lostBefore` neither runs nor answers it, `lostAfter` runs it without an
+ * answer, and `cutAfter` runs it and closes the connection instead of answering.
+ */
 export type CommandFault = 'none' | 'lostBefore' | 'lostAfter' | 'cutAfter'
 
 export interface MemoryDialerHooks {
   onCommand?: (server: BackendServerId, command: BackendCommand) => CommandFault
-  /** How long each command takes. */
+  /** Duration of each command. */
   workMilliseconds?: number
 }
 
 export class MemoryDialer implements BackendDialer {
   hooks: MemoryDialerHooks = {}
   links = new Set<MemoryLink>()
-  /** Servers whose packets to and from this dialer's host are lost. */
+  /** Servers whose packets to and from this dialer's host are dropped. */
   readonly unreachable = new Set<BackendServerId>()
   readonly #groups: readonly MemoryGroup[]
 
@@ -267,7 +270,7 @@
       return { link: CLOSED_LINK, opened: Promise.resolve(err({ kind: 'connectionRefused' })) }
     }
     if (server.isSilent || this.unreachable.has(server.id)) {
-      return { link: CLOSED_LINK, opened: never() }
+      return { link: CLOSED_LINK, opened: neverSettles() }
     }
     if (server.connections >= group.connectionLimit) {
       const failure: LinkFailure = {
@@ -288,7 +291,7 @@
       .find(each => each.service === address.service)
       ?.servers.get(address.server)
     if (server?.isSilent === true || this.unreachable.has(address.server)) {
-      return { answered: never(), cancel }
+      return { answered: neverSettles(), cancel }
     }
     if (server === undefined || server.isDown) {
       return { answered: Promise.resolve(err({ kind: 'connectionRefused' })), cancel }
@@ -304,7 +307,7 @@
     return { role, term: term(Number(termText)), received, pausedFor: term(Number(paused)) }
   }
 
-  /** Breaks every connection to a server, as its crash does. */
+  /** Closes every connection to a server, as a crash of the server does. */
   cut(server: BackendServerId): void {
     for (const link of this.links) if (link.server === server) link.close()
   }
--- a/packages/stand-ins/src/hostPlatform/memoryStore.ts
+++ b/packages/stand-ins/src/hostPlatform/memoryStore.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's store for tests, as the product's port sees it: one revision counter, conditional
- * changes, leases, a watch, and the ways in which it fails.
+ * In-memory implementation of the platform's store for tests: one revision counter, conditional
+ * changes, leases, watches and faults.
  */
 import { err, ok, type Result } from 'neverthrow'
 import {
@@ -22,14 +22,14 @@
 } from '@nutmegcourse/protocol'
 import type { BackendServerId } from '@nutmegcourse/shared'
 
-/** How the store treats calls. */
-export type StoreMood =
+/** How the store responds to calls. */
+export type StoreBehaviour =
   | 'well'
-  /** Refuses at once; nothing is done. */
+  /** Fails each call immediately, without effect. */
   | 'refusing'
-  /** Never answers; nothing is done. */
+  /** Answers no call, without effect; the caller times out. */
   | 'silent'
-  /** Does what it is asked and does not answer. */
+  /** Carries out each call and does not answer. */
   | 'losingAnswers'
 
 interface LoggedChange {
@@ -39,14 +39,14 @@
 
 interface Lease {
   readonly until: number
-  readonly lifetime: number
+  readonly lifetimeMilliseconds: number
 }
 
 const UNAVAILABLE: StoreFailure = { kind: 'unavailable', detail: 'the stand-in refuses' }
 const NO_ANSWER: StoreFailure = { kind: 'noAnswer', detail: 'the stand-in does not answer' }
 
-/** What the store held at one moment. */
-export interface StoreCopy {
+/** The contents of the store at one moment. */
+export interface StoreSnapshot {
   readonly revision: number
   readonly lastLease: number
   readonly records: ReadonlyMap<string, { record: StoredRecord; lease: number }>
@@ -55,7 +55,7 @@
   readonly configuration: FleetConfiguration | null
 }
 
-/** What all hosts share; each reaches it through a `StoreConnection` of its own. */
+/** The contents that all hosts share; each host uses its own `StoreConnection`. */
 export class MemoryStore {
   #revision = 1
   #lastLease = 0
@@ -65,7 +65,7 @@
   #configuration: FleetConfiguration | null = null
   #log: LoggedChange[] = []
   #watchers = new Set<() => void>()
-  /** Calls by name, for budgets. */
+  /** Number of calls by name, for tests that limit them. */
   readonly calls = new Map<string, number>()
 
   get revision(): number {
@@ -74,20 +74,20 @@
 
   configure(configuration: FleetConfiguration): void {
     this.#configuration = configuration
-    this.#note({ kind: 'configuration', configuration })
+    this.#recordChange({ kind: 'configuration', configuration })
   }
 
   listServer(entry: BackendServerEntry): void {
     this.#servers.set(entry.server, entry)
-    this.#note({ kind: 'server', entry })
+    this.#recordChange({ kind: 'server', entry })
   }
 
   unlistServer(server: BackendServerId): void {
     this.#servers.delete(server)
-    this.#note({ kind: 'serverGone', server })
+    this.#recordChange({ kind: 'serverGone', server })
   }
 
-  copy(): StoreCopy {
+  copy(): StoreSnapshot {
     return {
       revision: this.#revision,
       lastLease: this.#lastLease,
@@ -99,24 +99,24 @@
   }
 
   /**
-   * Comes back from a copy: what was written since is gone, and revisions and numbers of leases are given out again,
-   * in a new era. The operator's configuration and the servers' entries are for their writers to write again.
+   * Restores a snapshot. Changes made since are lost, and revision and lease numbers are assigned again, in a new era.
+   * The operator's configuration and the server entries must be written again by their owners.
    */
-  restore(copy: StoreCopy): void {
+  restore(snapshot: StoreSnapshot): void {
     const era = eraOf(this.#revision) + 1
-    const now = (number: number): number => storeRevision(era, ownRevisionOf(number))
-    this.#revision = now(copy.revision)
-    this.#lastLease = now(Math.max(1, copy.lastLease))
+    const inNewEra = (number: number): number => storeRevision(era, ownRevisionOf(number))
+    this.#revision = inNewEra(snapshot.revision)
+    this.#lastLease = inNewEra(Math.max(1, snapshot.lastLease))
     this.#records.clear()
     this.#leases.clear()
     this.#servers.clear()
-    for (const [key, { record, lease }] of copy.records) {
-      const restored = { ...record, revision: now(record.revision) }
-      this.#records.set(key, { record: restored, lease: now(lease) })
+    for (const [key, { record, lease }] of snapshot.records) {
+      const restored = { ...record, revision: inNewEra(record.revision) }
+      this.#records.set(key, { record: restored, lease: inNewEra(lease) })
     }
-    for (const [lease, held] of copy.leases) this.#leases.set(now(lease), held)
-    for (const [server, entry] of copy.servers) this.#servers.set(server, entry)
-    this.#configuration = copy.configuration
+    for (const [lease, held] of snapshot.leases) this.#leases.set(inNewEra(lease), held)
+    for (const [server, entry] of snapshot.servers) this.#servers.set(server, entry)
+    this.#configuration = snapshot.configuration
     this.#log = []
     for (const wake of [...this.#watchers]) wake()
   }
@@ -126,18 +126,18 @@
     return this.#records.get(key)?.record ?? null
   }
 
-  /** Every record whose key begins so, in order. */
+  /** Keys of all records with the prefix, in order. */
   recordKeys(prefix: string): string[] {
     this.#expire()
     return [...this.#records.keys()].filter(key => key.startsWith(prefix)).sort()
   }
 
-  /** Takes a key away, as a platform that revokes keys does. */
+  /** Removes a record as a platform does that revokes keys. */
   revoke(key: string): void {
-    if (this.#records.delete(key)) this.#noteRemoved(key)
+    if (this.#records.delete(key)) this.#recordRemoval(key)
   }
 
-  /** Forgets the history: watches from before must list again. */
+  /** Discards the change history; watches from earlier revisions must list again. */
   compact(): void {
     this.#log = []
   }
@@ -166,15 +166,15 @@
     return ok({ changes, revision: this.#revision })
   }
 
-  /** Resolves at the next change, or after `span` milliseconds. */
-  nextChange(span: number): Promise<void> {
+  /** Resolves at the next change or after the timeout. */
+  nextChange(timeoutMilliseconds: number): Promise<void> {
     return new Promise(resolve => {
       const wake = () => {
         clearTimeout(timer)
         this.#watchers.delete(wake)
         resolve()
       }
-      const timer = setTimeout(wake, span)
+      const timer = setTimeout(wake, timeoutMilliseconds)
       this.#watchers.add(wake)
     })
   }
@@ -194,15 +194,18 @@
     for (const { key, value, lease } of change.puts) {
       const record = { key, value, revision: this.#revision + 1 }
       this.#records.set(key, { record, lease })
-      this.#note({ kind: 'record', ...record, lease })
+      this.#recordChange({ kind: 'record', ...record, lease })
     }
-    for (const key of change.removes) if (this.#records.delete(key)) this.#noteRemoved(key)
+    for (const key of change.removes) if (this.#records.delete(key)) this.#recordRemoval(key)
     return { kind: 'made', revision: this.#revision }
   }
 
-  grant(lifetime: number): number {
+  grant(lifetimeMilliseconds: number): number {
     this.#lastLease += 1
-    this.#leases.set(this.#lastLease, { until: performance.now() + lifetime, lifetime })
+    this.#leases.set(this.#lastLease, {
+      until: performance.now() + lifetimeMilliseconds,
+      lifetimeMilliseconds,
+    })
     return this.#lastLease
   }
 
@@ -210,41 +213,41 @@
     this.#expire()
     const known = this.#leases.get(lease)
     if (known === undefined) return false
-    this.#leases.set(lease, { ...known, until: performance.now() + known.lifetime })
+    this.#leases.set(lease, { ...known, until: performance.now() + known.lifetimeMilliseconds })
     return true
   }
 
-  end(lease: number): void {
+  endLease(lease: number): void {
     this.#leases.delete(lease)
     for (const [key, held] of this.#records) {
       if (held.lease !== lease || lease === 0) continue
       this.#records.delete(key)
-      this.#noteRemoved(key)
+      this.#recordRemoval(key)
     }
   }
 
   #expire(): void {
     const now = performance.now()
-    for (const [lease, { until }] of this.#leases) if (until <= now) this.end(lease)
+    for (const [lease, { until }] of this.#leases) if (until <= now) this.endLease(lease)
   }
 
-  #noteRemoved(key: string): void {
-    this.#note({ kind: 'record', key, value: null, revision: this.#revision + 1, lease: 0 })
+  #recordRemoval(key: string): void {
+    this.#recordChange({ kind: 'record', key, value: null, revision: this.#revision + 1, lease: 0 })
   }
 
-  #note(change: DirectoryChange): void {
+  #recordChange(change: DirectoryChange): void {
     this.#revision += 1
     this.#log.push({ revision: this.#revision, change })
     for (const wake of [...this.#watchers]) wake()
   }
 }
 
-/** How often a watch looks for leases that ended, in milliseconds. */
+/** Interval at which a watch checks for expired leases. */
 const LEASE_CHECK_MILLISECONDS = 20
 
-/** One host's way to the store. */
+/** One host's connection to the store. */
 export class StoreConnection implements StoreLink {
-  mood: StoreMood = 'well'
+  mood: StoreBehaviour = 'well'
   readonly #store: MemoryStore
   #isClosed = false
 
@@ -267,7 +270,7 @@
     const until = performance.now() + waitMilliseconds
     this.#count('watch')
     for (;;) {
-      const events = await this.#act(limit.begin, () => this.#store.eventsAfter(revision))
+      const events = await this.#perform(limit.begin, () => this.#store.eventsAfter(revision))
       if (events.isErr() || events.value.changes.length > 0) return events
       if (this.#isClosed || performance.now() >= until) return events
       await this.#store.nextChange(LEASE_CHECK_MILLISECONDS)
@@ -282,8 +285,8 @@
     return this.#call('change', limit, () => ok(this.#store.change(change)))
   }
 
-  grantLease(lifetime: number, limit: number): Promise<Result<number, StoreFailure>> {
-    return this.#call('grantLease', limit, () => ok(this.#store.grant(lifetime)))
+  grantLease(lifetimeMilliseconds: number, limit: number): Promise<Result<number, StoreFailure>> {
+    return this.#call('grantLease', limit, () => ok(this.#store.grant(lifetimeMilliseconds)))
   }
 
   renewLease(lease: number, limit: number): Promise<Result<boolean, StoreFailure>> {
@@ -292,7 +295,7 @@
 
   endLease(lease: number, limit: number): Promise<Result<void, StoreFailure>> {
     return this.#call('endLease', limit, () => {
-      this.#store.end(lease)
+      this.#store.endLease(lease)
       return ok(undefined)
     })
   }
@@ -303,11 +306,11 @@
 
   #call<Value>(
     name: string,
-    limit: number,
+    timeoutMilliseconds: number,
     act: () => Result<Value, StoreFailure>,
   ): Promise<Result<Value, StoreFailure>> {
     this.#count(name)
-    return this.#act(limit, act)
+    return this.#perform(timeoutMilliseconds, act)
   }
 
   #count(name: string): void {
@@ -315,8 +318,8 @@
     calls.set(name, (calls.get(name) ?? 0) + 1)
   }
 
-  async #act<Value>(
-    limit: number,
+  async #perform<Value>(
+    timeoutMilliseconds: number,
     act: () => Result<Value, StoreFailure>,
   ): Promise<Result<Value, StoreFailure>> {
     switch (this.mood) {
@@ -326,14 +329,16 @@
         return err(UNAVAILABLE)
       case 'losingAnswers':
         act()
-        return this.#timeOut(limit)
+        return this.#failAfterTimeout(timeoutMilliseconds)
       case 'silent':
-        return this.#timeOut(limit)
+        return this.#failAfterTimeout(timeoutMilliseconds)
     }
   }
 
-  async #timeOut<Value>(limit: number): Promise<Result<Value, StoreFailure>> {
-    await new Promise(resolve => setTimeout(resolve, limit))
+  async #failAfterTimeout<Value>(
+    timeoutMilliseconds: number,
+  ): Promise<Result<Value, StoreFailure>> {
+    await new Promise(resolve => setTimeout(resolve, timeoutMilliseconds))
     return err(NO_ANSWER)
   }
 }
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for the platform and the databases. Private: used by tests and measurements alone. */
+/** Stand-ins for the platform and the databases. Private: only tests and benchmarks use them. */
 export * from './backendServer/backendServer.js'
 export * from './backendServer/backendServerSettings.js'
 export * from './hostList/hostListServer.js'
--- a/packages/stand-ins/src/pick.ts
+++ b/packages/stand-ins/src/pick.ts
@@ -1,6 +1,6 @@
 import type { RandomSource } from '@nutmegcourse/shared'
 
-/** One of the items, each as likely as the others. */
+/** Picks one of the items uniformly at random. */
 export function pick<Item>(items: readonly Item[], random: RandomSource): Item {
   const item = items[Math.floor(random.next() * items.length)]
   if (item === undefined) throw new Error('nothing to pick from')
--- a/packages/stand-ins/src/process/ports.ts
+++ b/packages/stand-ins/src/process/ports.ts
@@ -1,23 +1,23 @@
-/** Ports chosen before the processes start, so that every address is known and survives restarts. */
+/** Chooses ports before the processes start, so that all addresses are known and survive restarts. */
 import { randomInt } from 'node:crypto'
 import type { Server } from 'node:net'
 import { listen } from '@nutmegcourse/transport'
 
-/** All below the range from which the system takes the ports of outgoing connections. */
+/** All ports are below the range that the operating system uses for outgoing connections. */
 const FIRST_LOCK_PORT = 10_900
 const FIRST_PORT = 11_000
-const SLICES = 20
-const SLICE_PORTS = 1000
+const SLICE_COUNT = 20
+const PORTS_PER_SLICE = 1000
 const LOOPBACK = '127.0.0.1'
 
 let ownSlice: Promise<number> | null = null
 
 export async function freePorts(count: number): Promise<readonly number[]> {
-  ownSlice ??= takeSlice()
-  const lowest = FIRST_PORT + (await ownSlice) * SLICE_PORTS
+  ownSlice ??= reserveSlice()
+  const firstPort = FIRST_PORT + (await ownSlice) * PORTS_PER_SLICE
   const found = new Set<number>()
   while (found.size < count) {
-    const port = randomInt(lowest, lowest + SLICE_PORTS)
+    const port = randomInt(firstPort, firstPort + PORTS_PER_SLICE)
     if (found.has(port) || !(await isFree(port))) continue
     found.add(port)
   }
@@ -25,12 +25,13 @@
 }
 
 /**
- * Two deployments that start at once could both find a port free before either listens on it: one of
- * their processes then ends at its start. So each load process takes its ports from a slice of its
- * own; listening on the slice's lock port, for as long as it lives, is what makes the slice its own.
+ * Two deployments that start at the same time could both find a port free before either listens on
+ * it, and one of their processes would fail at its start. Each process that starts a deployment
+ * therefore takes its ports from its own slice, and reserves the slice by listening on the slice's
+ * lock port until it exits.
  */
-async function takeSlice(): Promise<number> {
-  for (let slice = 0; slice < SLICES; slice += 1) {
+async function reserveSlice(): Promise<number> {
+  for (let slice = 0; slice < SLICE_COUNT; slice += 1) {
     const lock = await tryListen(FIRST_LOCK_PORT + slice)
     if (lock === null) continue
     lock.unref()
--- a/packages/stand-ins/src/process/standInProcess.ts
+++ b/packages/stand-ins/src/process/standInProcess.ts
@@ -1,4 +1,4 @@
-/** What every stand-in process does at its start and end. */
+/** Startup and shutdown code that all stand-in processes share. */
 import { readFile } from 'node:fs/promises'
 import { parseArgs } from 'node:util'
 import { parse } from 'yaml'
@@ -15,12 +15,12 @@
   return schema.parse(parse(text ?? '{}'))
 }
 
-/** Tells whoever started this process that it listens. */
+/** Prints one JSON line for the parent process: this process is listening on these ports. */
 export function announceReady(ports: Readonly<Record<string, unknown>>): void {
   process.stdout.write(`${JSON.stringify({ ready: true, ...ports })}\n`)
 }
 
-/** Ends with the process that started this one, so that a test that dies leaves nothing behind. */
+/** Exits when the parent process closes standard input, so that an aborted test leaves no processes. */
 export function endWithParent(): void {
   const end = (): void => process.exit(0)
   process.on('SIGTERM', end)
--- a/packages/stand-ins/src/relay/relay.ts
+++ b/packages/stand-ins/src/relay/relay.ts
@@ -1,4 +1,4 @@
-/** The network between zones as a stand-in: one listening port for each source zone and target. */
+/** Stand-in for the network between zones: one listening port for each source zone and target. */
 import { once } from 'node:events'
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net'
 import { z } from 'zod'
@@ -8,25 +8,25 @@
 
 export const relaySettingsSchema = z.strictObject({
   address: z.string().default('127.0.0.1'),
-  /** Where orders come in. */
+  /** Port for the `relay.*` calls. */
   port: z.int().default(0),
   /** Region of each zone. */
   regions: z.record(z.string(), z.string()),
-  /** One-way delays. Within a zone there is none. */
+  /** One-way delays between zones of a region and between regions; within a zone there is none. */
   zoneDelayMilliseconds: z.number().min(0).default(0),
   regionDelayMilliseconds: z.number().min(0).default(0),
-  /** Shared by all traffic of one direction between two regions; absent: no limit. */
+  /** Bandwidth shared by all traffic in one direction between two regions; absent: unlimited. */
   regionBitsPerSecond: z.number().positive().optional(),
 })
 export type RelaySettings = z.infer<typeof relaySettingsSchema>
 
-/** `relay.link`: makes a port by which a zone reaches a target. Answers `{ port }`. */
+/** `relay.link`: opens a port by which a zone reaches a target. Returns `{ port }`. */
 const linkSchema = z.object({
   sourceZone: z.string(),
   targetZone: z.string(),
   target: z.string(),
 })
-/** `relay.target`: tells where a target listens; a connection before that is closed. */
+/** `relay.target`: sets the port of a target; connections opened before that are closed. */
 const targetSchema = z.object({ target: z.string(), port: z.int() })
 /** `relay.cut`: cuts or heals all traffic between two sets of zones, both ways unless `oneWay`. */
 const cutSchema = z.object({
@@ -36,7 +36,7 @@
   oneWay: z.boolean().default(false),
 })
 
-/** `relay.reset`: breaks the connections between two sets of zones; what was on its way is lost. */
+/** `relay.reset`: closes the connections between two sets of zones; bytes in flight are lost. */
 const resetSchema = z.object({ from: z.array(z.string()), to: z.array(z.string()) })
 
 interface Link {
@@ -47,7 +47,7 @@
 
 interface Flow {
   readonly link: Link
-  /** From source to target, and back. */
+  /** Source to target, then target to source. */
   readonly pipes: readonly [RelayPipe, RelayPipe]
   readonly sockets: readonly Socket[]
   isSilenced: boolean
@@ -60,7 +60,7 @@
   readonly #targets = new Map<string, number>()
   readonly #servers: Server[] = []
   readonly #flows = new Set<Flow>()
-  readonly #admins = new Set<Socket>()
+  readonly #controlSockets = new Set<Socket>()
   readonly #cuts = new Set<string>()
   readonly #rates = new Map<string, SharedRate>()
   readonly #bytes = new Map<string, number>()
@@ -71,8 +71,8 @@
 
   async start(): Promise<number> {
     const { server, port } = await listen(this.#settings.address, this.#settings.port, socket => {
-      this.#admins.add(socket)
-      socket.once('close', () => this.#admins.delete(socket))
+      this.#controlSockets.add(socket)
+      socket.once('close', () => this.#controlSockets.delete(socket))
       new JsonRpcConnection(socket, {
         'relay.link': async params => ({ port: await this.open(linkSchema.parse(params)) }),
         'relay.target': params => {
@@ -88,7 +88,7 @@
           this.reset(resetSchema.parse(params))
           return {}
         },
-        /** Bytes by `source region>target region` since the start. */
+        /** Bytes since the start, by `source region>target region`. */
         'relay.bytes': () => Object.fromEntries(this.#bytes),
       })
     })
@@ -98,11 +98,11 @@
 
   stop(): void {
     for (const server of this.#servers) server.close()
-    for (const socket of this.#admins) socket.destroy()
+    for (const socket of this.#controlSockets) socket.destroy()
     for (const flow of this.#flows) for (const socket of flow.sockets) socket.destroy()
   }
 
-  /** Makes a port by which a zone reaches a target. */
+  /** Opens a port by which a zone reaches a target. */
   async open(link: Link): Promise<number> {
     const server = createServer({ noDelay: true, allowHalfOpen: true }, socket => {
       this.#accept(link, socket)
@@ -113,14 +113,14 @@
     return (server.address() as AddressInfo).port
   }
 
-  /** Tells where a target listens. */
-  target(target: string, port: number): void {
-    this.#targets.set(target, port)
+  /** Sets the port on which a target listens. */
+  target(name: string, port: number): void {
+    this.#targets.set(name, port)
   }
 
   /**
-   * A cut shows to a new connection as one that is accepted and stays silent; a target that does not
-   * listen, as one that is accepted and closed.
+   * During a cut, a new connection is accepted and stays silent. If the target does not listen, it is
+   * accepted and then closed.
    */
   #accept(link: Link, source: Socket): void {
     const targetPort = this.#targets.get(link.target)
@@ -135,27 +135,27 @@
       allowHalfOpen: true,
     })
     const pipes: Flow['pipes'] = [
-      new RelayPipe(source, target, this.#pipeLink(link.sourceZone, link.targetZone)),
-      new RelayPipe(target, source, this.#pipeLink(link.targetZone, link.sourceZone)),
+      new RelayPipe(source, target, this.#pipeOptions(link.sourceZone, link.targetZone)),
+      new RelayPipe(target, source, this.#pipeOptions(link.targetZone, link.sourceZone)),
     ]
     const flow: Flow = { link, pipes, sockets: [source, target], isSilenced: false }
     this.#flows.add(flow)
     this.#applyCut(flow)
     for (const socket of flow.sockets) {
       socket.once('close', () => {
-        this.#forgetEnded(flow)
+        this.#removeClosedFlow(flow)
       })
     }
     for (const socket of flow.sockets) socket.on('error', () => undefined)
   }
 
-  #forgetEnded(flow: Flow): void {
+  #removeClosedFlow(flow: Flow): void {
     if (!flow.sockets.every(socket => socket.closed)) return
     this.#flows.delete(flow)
     for (const pipe of flow.pipes) pipe.close()
   }
 
-  #pipeLink(from: string, to: string): ConstructorParameters<typeof RelayPipe>[2] {
+  #pipeOptions(from: string, to: string): ConstructorParameters<typeof RelayPipe>[2] {
     const fromRegion = this.#settings.regions[from] ?? from
     const toRegion = this.#settings.regions[to] ?? to
     const direction = `${fromRegion}>${toRegion}`
@@ -183,12 +183,12 @@
     return rate
   }
 
-  cut(order: z.infer<typeof cutSchema>): void {
-    for (const from of order.from) {
-      for (const to of order.to) {
-        const back = order.oneWay ? [] : [zonePair(to, from)]
-        for (const pair of [zonePair(from, to), ...back]) {
-          if (order.cut) this.#cuts.add(pair)
+  cut(change: z.infer<typeof cutSchema>): void {
+    for (const from of change.from) {
+      for (const to of change.to) {
+        const reversePairs = change.oneWay ? [] : [zonePair(to, from)]
+        for (const pair of [zonePair(from, to), ...reversePairs]) {
+          if (change.cut) this.#cuts.add(pair)
           else this.#cuts.delete(pair)
         }
       }
@@ -196,16 +196,16 @@
     for (const flow of [...this.#flows]) this.#applyCut(flow)
   }
 
-  reset(between: z.infer<typeof resetSchema>): void {
-    for (const flow of this.#flowsBetween(between)) {
+  reset(zones: z.infer<typeof resetSchema>): void {
+    for (const flow of this.#flowsBetween(zones)) {
       for (const pipe of flow.pipes) pipe.close()
       for (const socket of flow.sockets) socket.destroy()
     }
   }
 
-  /** What stands between the two is silent for good, without an end; new connections work. */
-  silence(between: z.infer<typeof resetSchema>): void {
-    for (const flow of this.#flowsBetween(between)) {
+  /** Permanently silences the existing connections without closing them; new connections work. */
+  silence(zones: z.infer<typeof resetSchema>): void {
+    for (const flow of this.#flowsBetween(zones)) {
       flow.isSilenced = true
       this.#applyCut(flow)
     }
@@ -213,14 +213,14 @@
 
   #flowsBetween({ from, to }: z.infer<typeof resetSchema>): Flow[] {
     return [...this.#flows].filter(({ link: { sourceZone, targetZone } }) => {
-      const forth = from.includes(sourceZone) && to.includes(targetZone)
-      return forth || (from.includes(targetZone) && to.includes(sourceZone))
+      const isForward = from.includes(sourceZone) && to.includes(targetZone)
+      return isForward || (from.includes(targetZone) && to.includes(sourceZone))
     })
   }
 
   #applyCut({ link, pipes, isSilenced }: Flow): void {
-    const [forth, back] = pipes
-    forth.setCut(isSilenced || this.#cuts.has(zonePair(link.sourceZone, link.targetZone)))
-    back.setCut(isSilenced || this.#cuts.has(zonePair(link.targetZone, link.sourceZone)))
+    const [forward, backward] = pipes
+    forward.setCut(isSilenced || this.#cuts.has(zonePair(link.sourceZone, link.targetZone)))
+    backward.setCut(isSilenced || this.#cuts.has(zonePair(link.targetZone, link.sourceZone)))
   }
 }
--- a/packages/stand-ins/src/relay/relayPipe.ts
+++ b/packages/stand-ins/src/relay/relayPipe.ts
@@ -1,41 +1,41 @@
-/** One direction of a relayed connection: bytes go on after a delay, at a shared rate, unless cut. */
+/** One direction of a relayed connection: forwards bytes after a delay, at a shared rate, unless cut. */
 import type { Socket } from 'node:net'
 import { assertNever } from '@nutmegcourse/shared'
 import type { SharedRate } from './sharedRate.js'
 
-/** Bytes on their way before the sender is made to wait: a link's bandwidth times its delay, and more. */
+/** Bytes in flight before the source is paused; above the bandwidth-delay product of a link. */
 const MAXIMUM_IN_FLIGHT_BYTES = 1024 * 1024
 
-export interface PipeLink {
+export interface PipeOptions {
   readonly delayMilliseconds: number
   readonly rate: SharedRate | null
   readonly count: (bytes: number) => void
 }
 
-interface Parcel {
+interface QueuedPayload {
   readonly dueAt: number
-  readonly load: Load
+  readonly payload: Payload
 }
 
-type Load =
+type Payload =
   | { readonly kind: 'bytes'; readonly bytes: Buffer }
-  /** The sender has sent its last byte and may still read. */
+  /** The sender has half-closed the connection and may still read. */
   | { readonly kind: 'end' }
   | { readonly kind: 'close' }
 
 export class RelayPipe {
   readonly #from: Socket
   readonly #to: Socket
-  readonly #link: PipeLink
-  readonly #parcels: Parcel[] = []
+  readonly #options: PipeOptions
+  readonly #queue: QueuedPayload[] = []
   #inFlightBytes = 0
   #timer: NodeJS.Timeout | null = null
   #cut = false
 
-  constructor(from: Socket, to: Socket, link: PipeLink) {
+  constructor(from: Socket, to: Socket, options: PipeOptions) {
     this.#from = from
     this.#to = to
-    this.#link = link
+    this.#options = options
     from.on('data', bytes => {
       this.#send({ kind: 'bytes', bytes })
     })
@@ -51,8 +51,8 @@
   }
 
   /**
-   * While cut, nothing arrives and nothing is reset, as behind a firewall that drops packets. What
-   * was sent waits, as TCP would send it again, and arrives after the cut is healed.
+   * During a cut, nothing arrives and nothing is reset, as behind a firewall that drops packets. Bytes
+   * already sent are kept, as TCP would retransmit them, and arrive after the cut is healed.
    */
   setCut(cut: boolean): void {
     this.#cut = cut
@@ -61,16 +61,16 @@
 
   close(): void {
     if (this.#timer !== null) clearTimeout(this.#timer)
-    this.#parcels.length = 0
+    this.#queue.length = 0
   }
 
-  /** The end of the stream travels behind its last bytes. */
-  #send(load: Load): void {
-    const length = load.kind === 'bytes' ? load.bytes.length : 0
-    const queued = this.#link.rate?.reserve(length) ?? 0
-    this.#parcels.push({
-      dueAt: performance.now() + this.#link.delayMilliseconds + queued,
-      load,
+  /** Queues bytes, an end or a close in order, so that the end of the stream follows its last bytes. */
+  #send(payload: Payload): void {
+    const length = payload.kind === 'bytes' ? payload.bytes.length : 0
+    const queued = this.#options.rate?.reserve(length) ?? 0
+    this.#queue.push({
+      dueAt: performance.now() + this.#options.delayMilliseconds + queued,
+      payload,
     })
     this.#inFlightBytes += length
     if (this.#inFlightBytes > MAXIMUM_IN_FLIGHT_BYTES) this.#from.pause()
@@ -80,7 +80,7 @@
   #deliver(): void {
     if (this.#timer !== null) clearTimeout(this.#timer)
     this.#timer = null
-    for (let first = this.#parcels[0]; first !== undefined; first = this.#parcels[0]) {
+    for (let first = this.#queue[0]; first !== undefined; first = this.#queue[0]) {
       if (this.#cut || this.#to.writableNeedDrain) return
       const wait = first.dueAt - performance.now()
       if (wait > 0) {
@@ -89,15 +89,15 @@
         }, wait)
         return
       }
-      this.#parcels.shift()
-      this.#handOver(first.load)
+      this.#queue.shift()
+      this.#deliverPayload(first.payload)
     }
   }
 
-  #handOver(load: Load): void {
-    switch (load.kind) {
+  #deliverPayload(payload: Payload): void {
+    switch (payload.kind) {
       case 'bytes':
-        this.#handOverBytes(load.bytes)
+        this.#deliverBytes(payload.bytes)
         return
       case 'end':
         this.#to.end()
@@ -106,13 +106,13 @@
         this.#to.destroySoon()
         return
       default:
-        assertNever(load)
+        assertNever(payload)
     }
   }
 
-  #handOverBytes(bytes: Buffer): void {
+  #deliverBytes(bytes: Buffer): void {
     this.#inFlightBytes -= bytes.length
-    this.#link.count(bytes.length)
+    this.#options.count(bytes.length)
     if (!this.#to.destroyed) this.#to.write(bytes)
     if (this.#inFlightBytes <= MAXIMUM_IN_FLIGHT_BYTES) this.#from.resume()
   }
--- a/packages/stand-ins/src/relay/sharedRate.ts
+++ b/packages/stand-ins/src/relay/sharedRate.ts
@@ -3,17 +3,17 @@
 const MILLISECONDS_IN_SECOND = 1000
 
 export class SharedRate {
-  readonly #bytesAMillisecond: number
+  readonly #bytesPerMillisecond: number
   #freeAt = 0
 
   constructor(bitsPerSecond: number) {
-    this.#bytesAMillisecond = bitsPerSecond / BITS_IN_BYTE / MILLISECONDS_IN_SECOND
+    this.#bytesPerMillisecond = bitsPerSecond / BITS_IN_BYTE / MILLISECONDS_IN_SECOND
   }
 
-  /** Queues bytes behind all others; the answer is when their last has left, in milliseconds from now. */
+  /** Queues bytes behind all others; returns the milliseconds until the last of them has been sent. */
   reserve(bytes: number): number {
     const now = performance.now()
-    this.#freeAt = Math.max(now, this.#freeAt) + bytes / this.#bytesAMillisecond
+    this.#freeAt = Math.max(now, this.#freeAt) + bytes / this.#bytesPerMillisecond
     return this.#freeAt - now
   }
 }
--- a/packages/stand-ins/src/store/rateLimit.ts
+++ b/packages/stand-ins/src/store/rateLimit.ts
@@ -1,4 +1,4 @@
-/** A token bucket that says how long a call must wait for its turn. */
+/** Spaces calls evenly at a given rate, without bursts. */
 import type { Clock } from '@nutmegcourse/shared'
 
 const MILLISECONDS_IN_SECOND = 1000
@@ -13,11 +13,11 @@
     this.#spacingMilliseconds = MILLISECONDS_IN_SECOND / callsPerSecond
   }
 
-  /** Takes the next turn; the answer is the wait until it, in milliseconds. */
-  takeTurn(): number {
+  /** Reserves the time of the next call; returns the milliseconds to wait until then. */
+  reserve(): number {
     const now = this.#clock.now()
-    const turn = Math.max(now, this.#nextFree)
-    this.#nextFree = turn + this.#spacingMilliseconds
-    return turn - now
+    const startsAt = Math.max(now, this.#nextFree)
+    this.#nextFree = startsAt + this.#spacingMilliseconds
+    return startsAt - now
   }
 }
--- a/packages/stand-ins/src/store/storeContents.ts
+++ b/packages/stand-ins/src/store/storeContents.ts
@@ -1,4 +1,4 @@
-/** The store's values, revisions, leases and waiting watches. Pure but for the clock handed in. */
+/** The store's values, revisions, leases and change listeners. Time comes only from the given clock. */
 import type {
   StoreCompareAndSwapParams,
   StoreCompareAndSwapResult,
@@ -55,7 +55,7 @@
     return { succeeded: true, revision: this.#put(params.key, params.value, leaseId) }
   }
 
-  /** What changed under `prefix` after a revision; null when nothing did. */
+  /** The changes under `prefix` after a revision; null when there are none. */
   changesAfter(prefix: string, revision: number): StoreWatchResult | null {
     this.#expireLeases()
     const changes = this.#changesWith(prefix).filter(change => change.revision > revision)
@@ -95,7 +95,7 @@
     return true
   }
 
-  /** Removes the keys of lapsed leases. Called before each answer and by the server's timer. */
+  /** Removes expired leases and their keys. Called before each answer and by the server's timer. */
   #expireLeases(): void {
     const now = this.#clock.now()
     for (const [leaseId, lease] of this.#leases) {
@@ -126,7 +126,7 @@
     return [...this.#changes.values()].filter(change => change.key.startsWith(prefix))
   }
 
-  #after(span: number): Milliseconds {
-    return (this.#clock.now() + span) as Milliseconds
+  #after(milliseconds: number): Milliseconds {
+    return (this.#clock.now() + milliseconds) as Milliseconds
   }
 }
--- a/packages/stand-ins/src/store/storeServer.ts
+++ b/packages/stand-ins/src/store/storeServer.ts
@@ -1,4 +1,4 @@
-/** The platform's key-value service as a stand-in: JSON-RPC over TCP, with faults on demand. */
+/** Stand-in for the platform's key-value service: JSON-RPC over TCP, with injectable faults. */
 import type { Server, Socket } from 'node:net'
 import { z } from 'zod'
 import type { StoreWatchResult } from '@nutmegcourse/protocol'
@@ -13,7 +13,7 @@
 export const storeSettingsSchema = z.strictObject({
   address: z.string().default('127.0.0.1'),
   port: z.int().default(0),
-  /** Time that each answer takes. */
+  /** Delay of each answer. */
   answerMilliseconds: z.number().min(0).default(2),
   writesPerSecond: z.number().positive().default(500),
   readsPerSecond: z.number().positive().default(2000),
@@ -21,14 +21,14 @@
 export type StoreSettings = z.infer<typeof storeSettingsSchema>
 
 const faultsSchema = z.strictObject({
-  /** Every call goes unanswered and has no effect. */
+  /** No call is answered or has an effect. */
   outage: z.boolean().optional(),
-  /** Added to the time of each answer. */
+  /** Added to the delay of each answer. */
   delayMilliseconds: z.number().min(0).optional(),
-  /** This many swaps take effect and are never answered. */
+  /** Number of the next swaps that are carried out and never answered. */
   loseNextAnswers: z.int().min(0).optional(),
 })
-/** `fault.set`; what is absent stays as it is. */
+/** Parameters of `fault.set`; absent ones keep their values. */
 export type StoreFaults = z.infer<typeof faultsSchema>
 
 const keySchema = z.object({ key: z.string() })
@@ -112,7 +112,7 @@
         this.#setFaults(faultsSchema.parse(params))
         return {}
       },
-      /** Calls by method since the start, faults and waiting watches counted too. */
+      /** Number of calls by method since the start, including unanswered calls and open watches. */
       'calls.count': () => Object.fromEntries(this.#calls),
     }
   }
@@ -125,23 +125,23 @@
   ): RpcHandler {
     return async params => {
       this.#calls.set(name, (this.#calls.get(name) ?? 0) + 1)
-      if (this.#isOut()) return neverAnswered()
-      await sleep(this.#limits[kind].takeTurn())
+      if (this.#isInOutage()) return neverAnswered()
+      await sleep(this.#limits[kind].reserve())
       const answer = await run(schema.parse(params))
       if (name === 'compareAndSwap' && this.#answersToLose > 0) {
         this.#answersToLose -= 1
         return neverAnswered()
       }
       await sleep(this.#settings.answerMilliseconds + this.#delayMilliseconds)
-      return this.#isOut() ? neverAnswered() : answer
+      return this.#isInOutage() ? neverAnswered() : answer
     }
   }
 
   async #watch(params: z.infer<typeof watchSchema>): Promise<StoreWatchResult> {
     const { prefix, afterRevision, waitMilliseconds } = params
     const find = (): StoreWatchResult | null => this.#contents.changesAfter(prefix, afterRevision)
-    const atOnce = find()
-    if (atOnce !== null) return atOnce
+    const immediate = find()
+    if (immediate !== null) return immediate
     return new Promise(resolve => {
       const finish = (result: StoreWatchResult): void => {
         clearTimeout(timer)
@@ -158,8 +158,8 @@
     })
   }
 
-  /** Asked again after each wait: an outage may have begun meanwhile. */
-  #isOut(): boolean {
+  /** Checked again after each wait, because an outage may have started in the meantime. */
+  #isInOutage(): boolean {
     return this.#outage
   }
 
@@ -172,6 +172,6 @@
 
 const neverAnswered = (): Promise<never> => new Promise(() => undefined)
 
-function sleep(span: number): Promise<void> | undefined {
-  return span <= 0 ? undefined : new Promise(resolve => setTimeout(resolve, span))
+function sleep(milliseconds: number): Promise<void> | undefined {
+  return milliseconds <= 0 ? undefined : new Promise(resolve => setTimeout(resolve, milliseconds))
 }
