--- a/packages/stand-ins/__tests__/databaseGroup.spec.ts
+++ b/packages/stand-ins/__tests__/databaseGroup.spec.ts
@@ -13,18 +13,18 @@
   const group = new TestGroup()
   afterEach(() => group.stop())
 
-  it('opens its first term with a record', async () => {
+  it('starts its first term with a record', async () => {
     await group.start()
     expect(await group.position(0)).toEqual(report('primary', 1, 1, 1))
   })
 
-  it('replicates to followers, position by position', async () => {
+  it('replicates to followers at the same log positions', async () => {
     await group.start()
-    await group.ask(0, "INSERT INTO entries (key, value) VALUES ('a', '1')")
+    await group.query(0, "INSERT INTO entries (key, value) VALUES ('a', '1')")
     await eventually(async () => {
       expect(await group.position(1)).toEqual(report('replica', 1, 2, 1))
     })
-    expect(await group.ask(1, "SELECT value FROM entries WHERE key = 'a'")).toEqual([['1']])
+    expect(await group.query(1, "SELECT value FROM entries WHERE key = 'a'")).toEqual([['1']])
   })
 
   const refusals = [
@@ -47,7 +47,7 @@
     })
   }
 
-  it('promotes once, however often it is asked', async () => {
+  it('promotes only once when promotion is requested repeatedly', async () => {
     await group.start()
     await group.control(1, 'platform_fence(2)')
     expect(await group.control(1, 'platform_promote(2)')).toEqual(report('primary', 2, 2, 2))
@@ -55,10 +55,10 @@
   })
 
   /**
-   * A caller's write reaches a primary that has been replaced; the answer must not be a success.
-   * The fence arrives while the statement runs: the connection closes and nothing is logged.
+   * Guards against acknowledging a write at a primary that is being replaced. The fence arrives while
+   * the statement runs, so the connection must close and nothing may be logged.
    */
-  it('never answers a write that was running when the fence came', async () => {
+  it('does not acknowledge a write that is running when the fence arrives', async () => {
     await group.start({ serviceMilliseconds: 100 })
     const client = await group.connect(0)
     const closed = new Promise<string>(resolve =>
@@ -82,19 +82,20 @@
   })
 
   /**
-   * A primary accepted writes that nobody else holds; another was promoted and accepted its own.
-   * On following the new primary the old one must lose exactly what the new one lacks.
+   * A primary accepted writes that no other server holds, and another server was promoted and
+   * accepted its own. When the old primary follows the new one, it must discard exactly the records
+   * that the new one lacks.
    */
-  it('discards what the followed primary lacks', async () => {
+  it('discards the records that the followed primary lacks', async () => {
     await group.start()
-    await group.ask(0, "INSERT INTO entries (key, value) VALUES ('both', '1')")
+    await group.query(0, "INSERT INTO entries (key, value) VALUES ('both', '1')")
     await eventually(async () => {
       expect((await group.position(1))[2]).toEqual('2')
     })
     await group.control(1, 'platform_fence(2)')
-    await group.ask(0, "INSERT INTO entries (key, value) VALUES ('old only', '1')")
+    await group.query(0, "INSERT INTO entries (key, value) VALUES ('old only', '1')")
     await group.control(1, 'platform_promote(2)')
-    await group.ask(1, "INSERT INTO entries (key, value) VALUES ('new only', '1')")
+    await group.query(1, "INSERT INTO entries (key, value) VALUES ('new only', '1')")
     const caller = await group.connect(0)
     const closed = new Promise(resolve => caller.once('end', resolve))
     await group.follow(0, 2, 1)
@@ -102,16 +103,16 @@
     await eventually(async () => {
       expect(await group.position(0)).toEqual(report('replica', 2, 4, 2))
     })
-    expect(await group.ask(0, 'SELECT key, value FROM entries')).toEqual([
+    expect(await group.query(0, 'SELECT key, value FROM entries')).toEqual([
       ['both', '1'],
       ['new only', '1'],
     ])
   })
 
-  it('does not stream to a follower of a newer term, nor take records of an older one', async () => {
+  it('neither streams to a follower of a newer term nor accepts records of an older one', async () => {
     await group.start()
     await group.control(1, 'platform_fence(2)')
-    await group.ask(0, "INSERT INTO entries (key, value) VALUES ('a', '1')")
+    await group.query(0, "INSERT INTO entries (key, value) VALUES ('a', '1')")
     await eventually(async () => {
       expect((await group.position(2))[2]).toEqual('2')
     })
@@ -123,27 +124,27 @@
   const group = new TestGroup()
   afterEach(() => group.stop())
 
-  it('holds replication back while paused, then catches up', async () => {
+  it('stops applying records while replication is paused and then catches up', async () => {
     await group.start()
-    await group.ask(1, 'SELECT platform_pause_replication(true)')
-    await group.ask(0, "INSERT INTO entries (key, value) VALUES ('a', '1')")
+    await group.query(1, 'SELECT platform_pause_replication(true)')
+    await group.query(0, "INSERT INTO entries (key, value) VALUES ('a', '1')")
     await eventually(async () => {
       expect((await group.position(2))[2]).toEqual('2')
     })
     expect((await group.position(1))[2]).toEqual('1')
-    await group.ask(1, 'SELECT platform_pause_replication(false)')
+    await group.query(1, 'SELECT platform_pause_replication(false)')
     await eventually(async () => {
       expect((await group.position(1))[2]).toEqual('2')
     })
   })
 
-  it('comes back with its log and fence, as a replica that waits to be told', async () => {
+  it('restarts with its log and fence as a replica without a source', async () => {
     await group.start()
-    await group.ask(0, "INSERT INTO entries (key, value) VALUES ('a', '1')")
+    await group.query(0, "INSERT INTO entries (key, value) VALUES ('a', '1')")
     await group.control(0, 'platform_fence(1)')
     await group.restart(0)
     expect(await group.position(0)).toEqual(report('replica', 1, 2, 1))
-    expect(await group.ask(0, 'SELECT key, value FROM entries')).toEqual([['a', '1']])
+    expect(await group.query(0, 'SELECT key, value FROM entries')).toEqual([['a', '1']])
     await group.control(0, 'platform_fence(5)')
     await group.restart(0)
     expect(
@@ -151,13 +152,13 @@
     ).toEqual('NM001')
   })
 
-  it('resumes replication when the primary comes back on its port', async () => {
+  it('resumes replication when the primary restarts on the same port', async () => {
     await group.start()
     await group.restart(0)
     await group.control(0, 'platform_promote(1)')
-    await group.ask(0, "INSERT INTO entries (key, value) VALUES ('a', '1')")
+    await group.query(0, "INSERT INTO entries (key, value) VALUES ('a', '1')")
     await eventually(async () => {
-      expect(await group.ask(1, 'SELECT key, value FROM entries')).toEqual([['a', '1']])
+      expect(await group.query(1, 'SELECT key, value FROM entries')).toEqual([['a', '1']])
     })
   })
 })
--- a/packages/stand-ins/__tests__/platform.spec.ts
+++ b/packages/stand-ins/__tests__/platform.spec.ts
@@ -10,15 +10,15 @@
 } from '../src/index.js'
 import { eventually } from './testGroup.js'
 
-const SHORT_WAIT = 100
-const LONG_WAIT = 5000
+const SHORT_WAIT_MILLISECONDS = 100
+const LONG_WAIT_MILLISECONDS = 5000
 
 describe('store', () => {
   const server = new StoreServer(storeSettingsSchema.parse({ answerMilliseconds: 0 }))
   let connection: JsonRpcConnection
   before(async () => {
     connection = (
-      await openJsonRpc('127.0.0.1', await server.start(), {}, LONG_WAIT)
+      await openJsonRpc('127.0.0.1', await server.start(), {}, LONG_WAIT_MILLISECONDS)
     )._unsafeUnwrap()
   })
   after(() => {
@@ -26,7 +26,11 @@
     server.stop()
   })
 
-  const call = async (method: string, params: unknown, wait = LONG_WAIT): Promise<unknown> =>
+  const call = async (
+    method: string,
+    params: unknown,
+    wait = LONG_WAIT_MILLISECONDS,
+  ): Promise<unknown> =>
     (await connection.request(method, params, wait)).match(
       answer => answer,
       error => error.kind,
@@ -38,7 +42,7 @@
     wait?: number,
   ): Promise<unknown> => call('store.compareAndSwap', { key, expectedRevision, value }, wait)
 
-  it('swaps only the revision that was expected', async () => {
+  it('swaps only when the revision is the expected one', async () => {
     expect(await swap('a', 0, 'first')).toEqual({ succeeded: true, revision: 1 })
     expect(await swap('a', 0, 'second')).toEqual({
       succeeded: false,
@@ -48,7 +52,11 @@
   })
 
   it('answers a waiting watch when a key of its prefix changes', async () => {
-    const params = { prefix: 'watched/', afterRevision: 2, waitMilliseconds: LONG_WAIT }
+    const params = {
+      prefix: 'watched/',
+      afterRevision: 2,
+      waitMilliseconds: LONG_WAIT_MILLISECONDS,
+    }
     const watching = call('store.watch', params)
     await swap('other', 0, 1)
     await swap('watched/x', 0, 1)
@@ -57,19 +65,23 @@
     ])
   })
 
-  it('ends a watch without changes after its wait', async () => {
+  it('answers a watch without changes after its wait time', async () => {
     const params = { prefix: 'silent/', afterRevision: 0, waitMilliseconds: 20 }
     expect(((await call('store.watch', params)) as StoreWatchResult).changed).toEqual([])
   })
 
-  it('removes the keys of a lapsed lease, and says so to watchers', async () => {
+  it('removes the keys of an expired lease and reports them to watchers', async () => {
     const { leaseId } = (await call('store.grantLease', { timeToLiveMilliseconds: 60 })) as {
       leaseId: string
     }
     await call('store.compareAndSwap', { key: 'leased/x', expectedRevision: 0, value: 1, leaseId })
     expect(await call('store.keepAlive', { leaseId })).toEqual({ alive: true })
     const { revision } = (await call('store.list', { prefix: '' })) as { revision: number }
-    const params = { prefix: 'leased/', afterRevision: revision, waitMilliseconds: LONG_WAIT }
+    const params = {
+      prefix: 'leased/',
+      afterRevision: revision,
+      waitMilliseconds: LONG_WAIT_MILLISECONDS,
+    }
     expect(((await call('store.watch', params)) as StoreWatchResult).removedKeys).toEqual([
       'leased/x',
     ])
@@ -80,10 +92,10 @@
     expect(await swap('large', 0, 'x'.repeat(1024 * 1024))).toEqual('remote')
   })
 
-  /** A writer sees its call time out although the store kept the value: reading back must show it. */
-  it('loses the answer of a swap that took effect', async () => {
+  /** The call of the writer times out although the store kept the value; a read must return it. */
+  it('carries out a swap without answering it when its answer is set to be lost', async () => {
     await call('fault.set', { loseNextAnswers: 1 })
-    expect(await swap('lost', 0, 'kept', SHORT_WAIT)).toEqual('answerTimeout')
+    expect(await swap('lost', 0, 'kept', SHORT_WAIT_MILLISECONDS)).toEqual('answerTimeout')
     expect((await call('store.get', { key: 'lost' })) as { value: string }).toEqual(
       expect.subset({ value: 'kept' }),
     )
@@ -91,7 +103,7 @@
 
   it('answers nothing and does nothing in an outage', async () => {
     await call('fault.set', { outage: true })
-    expect(await swap('out', 0, 1, SHORT_WAIT)).toEqual('answerTimeout')
+    expect(await swap('out', 0, 1, SHORT_WAIT_MILLISECONDS)).toEqual('answerTimeout')
     await call('fault.set', { outage: false })
     expect(await call('store.get', { key: 'out' })).toEqual(null)
   })
@@ -120,12 +132,14 @@
     server.stop()
   })
   const call = async (port: number, method: string, params: unknown): Promise<unknown> => {
-    const connection = (await openJsonRpc('127.0.0.1', port, {}, LONG_WAIT))._unsafeUnwrap()
+    const connection = (
+      await openJsonRpc('127.0.0.1', port, {}, LONG_WAIT_MILLISECONDS)
+    )._unsafeUnwrap()
     connections.push(connection)
-    return (await connection.request(method, params, LONG_WAIT))._unsafeUnwrap()
+    return (await connection.request(method, params, LONG_WAIT_MILLISECONDS))._unsafeUnwrap()
   }
 
-  it('tells changes late, and each zone its own addresses', async () => {
+  it('reports changes after the lag and gives each zone its own addresses', async () => {
     const { port, zonePorts } = await server.start()
     const routes = [{ zone: 'far', hostId: 'h', address: '127.0.0.1', port: 2 }]
     await call(port, 'hosts.set', { hosts: [host], routes, immediate: true })
--- a/packages/stand-ins/__tests__/postgresProtocol.spec.ts
+++ b/packages/stand-ins/__tests__/postgresProtocol.spec.ts
@@ -54,8 +54,8 @@
   ]
   for (const { text, values, rows } of statements) {
     it(`answers ${text} ${JSON.stringify(values ?? '')}`, async () => {
-      const asked = { text, rowMode: 'array', ...(values && { values: [...values] }) } as const
-      expect((await client.query<unknown[]>(asked)).rows).toEqual(rows.map(row => [...row]))
+      const query = { text, rowMode: 'array', ...(values && { values: [...values] }) } as const
+      expect((await client.query<unknown[]>(query)).rows).toEqual(rows.map(row => [...row]))
     })
   }
 
@@ -65,9 +65,9 @@
   ]
   for (const { text, code } of errors) {
     for (const values of [undefined, []]) {
-      it(`refuses ${text} with ${code}, ${values ? 'extended' : 'simple'}, and goes on`, async () => {
-        const asked = { text, ...(values && { values, name: `named ${text}` }) }
-        const found = await client.query(asked).then(
+      it(`refuses ${text} with ${code}, ${values ? 'extended' : 'simple'}, and continues the session`, async () => {
+        const query = { text, ...(values && { values, name: `named ${text}` }) }
+        const found = await client.query(query).then(
           () => '',
           (error: unknown) => (error as pg.DatabaseError).code,
         )
@@ -83,7 +83,7 @@
     expect((await client.query({ ...named, values: ['absent'] })).rows).toEqual([])
   })
 
-  it('answers pipelined questions in order, a position behind a write', async () => {
+  it('answers pipelined statements in order, with the position after a write including it', async () => {
     const write = client.query("INSERT INTO entries (key, value) VALUES ('piped', '1')")
     const position = client.query<{ log_offset: string }>(
       'SELECT role, term, log_offset, fenced_term FROM platform_position()',
@@ -94,13 +94,13 @@
     expect(before).toEqual(Number(now))
   })
 
-  it('commits a transaction as one record, and rolls back as none', async () => {
+  it('commits a transaction as one record and logs none for a rollback', async () => {
     const offset = async (): Promise<number> => Number((await group.position(0))[2])
     const start = await offset()
     await client.query('BEGIN')
     await client.query("INSERT INTO entries (key, value) VALUES ('t1', '1')")
     await client.query("INSERT INTO entries (key, value) VALUES ('t2', '1')")
-    expect(await group.ask(0, "SELECT value FROM entries WHERE key = 't1'")).toEqual([])
+    expect(await group.query(0, "SELECT value FROM entries WHERE key = 't1'")).toEqual([])
     await client.query('COMMIT')
     expect(await offset()).toEqual(start + 1)
     await client.query('BEGIN')
@@ -130,13 +130,13 @@
     expect(await group.errorCode(1, write)).toEqual('25006')
   })
 
-  it('runs several statements of one message all or none', async () => {
+  it('runs several statements of one message atomically', async () => {
     const insert = (key: string): string =>
       `INSERT INTO entries (key, value) VALUES ('${key}', '1')`
     await client.query(`${insert('m1')}; ${insert('k')}`).catch(() => undefined)
-    expect(await group.ask(0, "SELECT value FROM entries WHERE key = 'm1'")).toEqual([])
+    expect(await group.query(0, "SELECT value FROM entries WHERE key = 'm1'")).toEqual([])
     await client.query(`${insert('m1')}; ${insert('m2')}`)
-    expect(await group.ask(0, "SELECT value FROM entries WHERE key = 'm2'")).toEqual([['1']])
+    expect(await group.query(0, "SELECT value FROM entries WHERE key = 'm2'")).toEqual([['1']])
   })
 
   it('cancels a running statement', async () => {
--- a/packages/stand-ins/__tests__/relay.spec.ts
+++ b/packages/stand-ins/__tests__/relay.spec.ts
@@ -4,21 +4,23 @@
 import { listen, openJsonRpc, type JsonRpcConnection } from '@nutmegcourse/transport'
 import { Relay, relaySettingsSchema } from '../src/index.js'
 
-const WAIT = 5000
-const QUIET_MILLISECONDS = 100
+const ANSWER_TIMEOUT_MILLISECONDS = 5000
+const SILENCE_MILLISECONDS = 100
 
 describe('relay', () => {
   let relay: Relay
   let admin: JsonRpcConnection
   let target: Server
-  let wayIn = 0
+  let linkPort = 0
   const sockets: Socket[] = []
 
   beforeEach(async () => {
     relay = new Relay(
       relaySettingsSchema.parse({ regions: { a: 'r', b: 's' }, regionDelayMilliseconds: 20 }),
     )
-    admin = (await openJsonRpc('127.0.0.1', await relay.start(), {}, WAIT))._unsafeUnwrap()
+    admin = (
+      await openJsonRpc('127.0.0.1', await relay.start(), {}, ANSWER_TIMEOUT_MILLISECONDS)
+    )._unsafeUnwrap()
     const echo = await listen('127.0.0.1', 0, socket => {
       sockets.push(socket)
       socket.pipe(socket)
@@ -26,7 +28,7 @@
     target = echo.server
     await call('relay.target', { target: 'echo', port: echo.port })
     const link = { sourceZone: 'a', targetZone: 'b', target: 'echo' }
-    wayIn = ((await call('relay.link', link)) as { port: number }).port
+    linkPort = ((await call('relay.link', link)) as { port: number }).port
   })
   afterEach(() => {
     admin.close()
@@ -36,9 +38,9 @@
   })
 
   const call = async (method: string, params: unknown): Promise<unknown> =>
-    (await admin.request(method, params, WAIT))._unsafeUnwrap()
+    (await admin.request(method, params, ANSWER_TIMEOUT_MILLISECONDS))._unsafeUnwrap()
   const open = (): Socket => {
-    const socket = connect({ host: '127.0.0.1', port: wayIn })
+    const socket = connect({ host: '127.0.0.1', port: linkPort })
     sockets.push(socket)
     return socket
   }
@@ -48,8 +50,8 @@
         resolve(chunk.toString())
       }),
     )
-  const quiet = (): Promise<string> =>
-    new Promise(resolve => setTimeout(resolve, QUIET_MILLISECONDS, 'quiet'))
+  const silence = (): Promise<string> =>
+    new Promise(resolve => setTimeout(resolve, SILENCE_MILLISECONDS, 'quiet'))
 
   it('delays both ways and counts bytes by region', async () => {
     const socket = open()
@@ -60,18 +62,18 @@
     expect(await call('relay.bytes', {})).toEqual({ 'r>s': 5, 's>r': 5 })
   })
 
-  it('keeps connections silent while cut, and delivers after', async () => {
-    const standing = open()
-    standing.write('1')
-    expect(await nextText(standing)).toEqual('1')
+  it('keeps connections open and silent during a cut and delivers afterwards', async () => {
+    const existing = open()
+    existing.write('1')
+    expect(await nextText(existing)).toEqual('1')
     await call('relay.cut', { from: ['a'], to: ['b'], cut: true })
-    const fresh = open()
-    for (const socket of [standing, fresh]) {
+    const opened = open()
+    for (const socket of [existing, opened]) {
       socket.write('2')
-      expect(await Promise.race([nextText(socket), quiet()])).toEqual('quiet')
+      expect(await Promise.race([nextText(socket), silence()])).toEqual('quiet')
       expect(socket.closed).toEqual(false)
     }
-    const late = [standing, fresh].map(nextText)
+    const late = [existing, opened].map(nextText)
     await call('relay.cut', { from: ['b'], to: ['a'], cut: false })
     expect(await Promise.all(late)).toEqual(['2', '2'])
   })
--- a/packages/stand-ins/__tests__/testGroup.ts
+++ b/packages/stand-ins/__tests__/testGroup.ts
@@ -1,4 +1,4 @@
-/** Three backend servers in this process, the first leading, and pg clients to drive them. */
+/** Test fixture: three backend servers in this process, the first one primary, and pg clients. */
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -9,8 +9,8 @@
   type BackendServerSettings,
 } from '../src/index.js'
 
-const SIZE = 3
-const PATIENCE_MILLISECONDS = 5000
+const SERVER_COUNT = 3
+const TIMEOUT_MILLISECONDS = 5000
 const RETRY_MILLISECONDS = 10
 
 interface Member {
@@ -26,7 +26,7 @@
 
   async start(settings: Partial<BackendServerSettings> = {}): Promise<void> {
     this.#directory = mkdtempSync(join(tmpdir(), 'stand-ins-'))
-    for (let index = 0; index < SIZE; index += 1) {
+    for (let index = 0; index < SERVER_COUNT; index += 1) {
       const own: Partial<BackendServerSettings> = {
         ...settings,
         dataFile: join(this.#directory, String(index)),
@@ -74,14 +74,18 @@
     return client
   }
 
-  async ask(index: number, statement: string, options: pg.ClientConfig = {}): Promise<string[][]> {
+  async query(
+    index: number,
+    statement: string,
+    options: pg.ClientConfig = {},
+  ): Promise<string[][]> {
     const client = await this.connect(index, options)
     const { rows } = await client.query<string[]>({ text: statement, rowMode: 'array' })
     await client.end()
     return rows
   }
 
-  /** The SQLSTATE of a statement that must fail; empty when it does not. */
+  /** The SQLSTATE of a statement that is expected to fail; empty if it succeeds. */
   async errorCode(index: number, statement: string): Promise<string> {
     const client = await this.connect(index)
     return client.query(statement).then(
@@ -92,7 +96,7 @@
 
   async control(index: number, call: string): Promise<string[]> {
     const statement = `SELECT role, term, log_offset, fenced_term FROM ${call}`
-    const rows = await this.ask(index, statement, { application_name: 'nutmegcourse-control' })
+    const rows = await this.query(index, statement, { application_name: 'nutmegcourse-control' })
     return rows[0] ?? []
   }
 
@@ -111,7 +115,7 @@
   }
 }
 
-/** Repeats a check until it holds; its last error when it never does. */
+/** Repeats a check until it passes; throws its last error after the timeout. */
 export async function eventually(check: () => Promise<void>): Promise<void> {
   const start = performance.now()
   for (;;) {
@@ -119,7 +123,7 @@
       await check()
       return
     } catch (error) {
-      if (performance.now() - start > PATIENCE_MILLISECONDS) throw error
+      if (performance.now() - start > TIMEOUT_MILLISECONDS) throw error
       await new Promise(resolve => setTimeout(resolve, RETRY_MILLISECONDS))
     }
   }
