--- a/packages/stand-ins/src/process/ports.ts
+++ b/packages/stand-ins/src/process/ports.ts
@@ -37,7 +37,7 @@
     lock.unref()
     return slice
   }
-  throw new Error('no slice of ports is free')
+  throw new Error('all port slices are in use by other processes')
 }
 
 async function isFree(port: number): Promise<boolean> {
--- a/packages/stand-ins/src/relay/relay.ts
+++ b/packages/stand-ins/src/relay/relay.ts
@@ -26,7 +26,7 @@
   targetZone: z.string(),
   target: z.string(),
 })
-/** `relay.target`: sets the port of a target; connections opened before that are closed. */
+/** `relay.target`: sets the port of a target; until then, connections to it are closed. */
 const targetSchema = z.object({ target: z.string(), port: z.int() })
 /** `relay.cut`: cuts or heals all traffic between two sets of zones, both ways unless `oneWay`. */
 const cutSchema = z.object({
