--- a/packages/coordination/__tests__/configuration.spec.ts
+++ b/packages/coordination/__tests__/configuration.spec.ts
@@ -40,44 +40,44 @@
   }
 }
 
-class Host {
+class HostFixture {
   readonly core = new ConfigurationCore()
   readonly #clock: VirtualClock
-  readonly #peers: Host[] = []
+  readonly #peers: HostFixture[] = []
 
   constructor(clock: VirtualClock) {
     this.#clock = clock
   }
 
-  linkWith(other: Host): void {
+  linkWith(other: HostFixture): void {
     this.#peers.push(other)
     other.#peers.push(this)
   }
 
   /** Reads the store, carries out what follows, and says whether the store was changed by it. */
-  read(store: FakeStore): void {
+  readStore(store: FakeStore): void {
     const { document, revision } = store
-    this.tell({ kind: 'storeAnswered', document, revision, askedAt: this.#clock.now() }, store)
+    this.handle({ kind: 'storeAnswered', document, revision, askedAt: this.#clock.now() }, store)
   }
 
-  ask(peer: Host): void {
+  requestConfirmation(peer: HostFixture): void {
     const age = peer.core.confirmationAge(this.#clock.now())
     const { newest } = peer.core
     if (newest === null || age === null) return
     const { version, changeId } = newest
     const name = { version, changeId }
     const askedAt = this.#clock.now()
-    this.tell({ kind: 'peerConfirmed', name, ageMilliseconds: age, askedAt })
+    this.handle({ kind: 'peerConfirmed', name, ageMilliseconds: age, askedAt })
   }
 
-  tell(message: ConfigurationMessage, store: FakeStore | null = null): void {
+  handle(message: ConfigurationMessage, store: FakeStore | null = null): void {
     for (const effect of this.core.handle(message, this.#clock.now())) {
       if (effect.kind === 'adopt') {
-        for (const peer of this.#peers) peer.tell({ kind: 'learned', document: effect.document })
+        for (const peer of this.#peers) peer.handle({ kind: 'learned', document: effect.document })
       }
       if (effect.kind === 'repairStore') {
         store?.swap(effect.document, effect.expectedRevision)
-        this.tell({ kind: 'repairEnded' })
+        this.handle({ kind: 'repairEnded' })
       }
     }
   }
@@ -99,11 +99,16 @@
   }
 }
 
-function start(): { clock: VirtualClock; store: FakeStore; first: Host; second: Host } {
+function start(): {
+  clock: VirtualClock
+  store: FakeStore
+  first: HostFixture
+  second: HostFixture
+} {
   const clock = new VirtualClock(100_000)
   const store = new FakeStore()
-  const first = new Host(clock)
-  const second = new Host(clock)
+  const first = new HostFixture(clock)
+  const second = new HostFixture(clock)
   first.linkWith(second)
   return { clock, store, first, second }
 }
@@ -114,10 +119,10 @@
   it('follows the winner of two operators', () => {
     const { store, first, second } = start()
     store.swap(documentOf(1, 'base'), 0)
-    first.read(store)
+    first.readStore(store)
     const outcomes = [store.swap(documentOf(2, 'ours'), 1), store.swap(documentOf(2, 'theirs'), 1)]
-    first.read(store)
-    second.read(store)
+    first.readStore(store)
+    second.readStore(store)
     expect(outcomes).toEqual([true, false])
     expect([first.change, second.change]).toEqual(['ours', 'ours'])
   })
@@ -128,7 +133,7 @@
     const { store, first } = start()
     store.swap(documentOf(1, 'base'), 0)
     store.swap(documentOf(2, 'mine'), 1)
-    first.read(store)
+    first.readStore(store)
     expect(store.document?.changeId).toEqual('mine')
     expect(first.change).toEqual('mine')
   })
@@ -139,14 +144,15 @@
     const { clock, store, first } = start()
     store.swap(documentOf(1, 'base'), 0)
     store.swap(documentOf(2, 'newer'), 1)
-    first.read(store)
+    first.readStore(store)
     clock.advance(3_600_000)
-    const replaced = new Host(clock)
-    if (first.core.newest !== null) replaced.tell({ kind: 'learned', document: first.core.newest })
-    replaced.ask(first)
+    const replaced = new HostFixture(clock)
+    if (first.core.newest !== null)
+      replaced.handle({ kind: 'learned', document: first.core.newest })
+    replaced.requestConfirmation(first)
     expect([replaced.version, replaced.confirmed, first.confirmed]).toEqual([2, false, false])
-    first.read(store)
-    replaced.ask(first)
+    first.readStore(store)
+    replaced.requestConfirmation(first)
     expect([first.confirmed, replaced.confirmed]).toEqual([true, true])
   })
 
@@ -156,12 +162,12 @@
     const { store, first, second } = start()
     for (const version of [1, 2, 3]) {
       store.swap(documentOf(version, `change-${version}`), version - 1)
-      first.read(store)
+      first.readStore(store)
     }
     store.document = documentOf(1, 'change-1')
     store.revision = 1
-    second.read(store)
-    first.read(store)
+    second.readStore(store)
+    first.readStore(store)
     expect([first.version, second.version, store.document.version]).toEqual([3, 3, 3])
     expect(store.document.changeId).toEqual('change-3')
   })
@@ -172,13 +178,13 @@
     const { store, first, second } = start()
     for (const version of [1, 2, 3]) {
       store.swap(documentOf(version, `change-${version}`), version - 1)
-      first.read(store)
+      first.readStore(store)
     }
     store.document = documentOf(1, 'change-1')
     store.revision = 1
     store.swap(documentOf(2, 'made-on-old-copy'), 1)
-    first.read(store)
-    first.read(store)
+    first.readStore(store)
+    first.readStore(store)
     expect([first.change, second.change]).toEqual(['made-on-old-copy', 'made-on-old-copy'])
     expect([first.version, store.document.version]).toEqual([4, 4])
   })
@@ -192,11 +198,11 @@
     it(`tells ${name} by the newest document's history`, () => {
       const { store, first } = start()
       const recentChangeIds = ['first', 'second']
-      first.tell({ kind: 'learned', document: { ...documentOf(3, 'third'), recentChangeIds } })
+      first.handle({ kind: 'learned', document: { ...documentOf(3, 'third'), recentChangeIds } })
       store.document = stored
       store.revision = 5
-      first.read(store)
-      first.read(store)
+      first.readStore(store)
+      first.readStore(store)
       expect([first.change, store.document.changeId]).toEqual([change, change])
     })
   }
@@ -205,8 +211,8 @@
     const { first, second, store } = start()
     store.swap(documentOf(1, 'base'), 0)
     store.swap(documentOf(2, 'newer'), 1)
-    first.read(store)
-    second.tell({ kind: 'learned', document: documentOf(1, 'base') })
+    first.readStore(store)
+    second.handle({ kind: 'learned', document: documentOf(1, 'base') })
     expect([first.version, second.version]).toEqual([2, 2])
   })
 
@@ -253,14 +259,14 @@
     it(`keeps to the stricter when the last change allowed ${name} and is not confirmed`, () => {
       const { clock, store, first } = start()
       store.swap(documentOf(1, 'base', before), 0)
-      first.read(store)
+      first.readStore(store)
       store.swap(documentOf(2, 'last', after), 1)
-      first.read(store)
+      first.readStore(store)
       expect(first.core.inForce(clock.now())?.targets.classes).toEqual([gallery(after)])
       clock.advance(13_001)
       expect(first.confirmed).toEqual(false)
       expect(first.core.inForce(clock.now())?.targets.classes).toEqual([unconfirmed])
-      first.read(store)
+      first.readStore(store)
       expect(first.core.inForce(clock.now())?.targets.classes).toEqual([gallery(after)])
     })
   }
@@ -268,7 +274,7 @@
   it('reports once when it can no longer confirm', () => {
     const { clock, store, first } = start()
     store.swap(documentOf(1, 'base'), 0)
-    first.read(store)
+    first.readStore(store)
     const reports: boolean[] = []
     for (const span of [12_000, 2000, 2000]) {
       clock.advance(span)
@@ -304,10 +310,10 @@
   for (const { name, version, changeId, askedBefore, age, ok } of confirmations) {
     it(`takes a peer's word for ${name} as ${ok ? 'confirmation' : 'none'}`, () => {
       const { clock, first } = start()
-      first.tell({ kind: 'learned', document: documentOf(2, 'newer') })
+      first.handle({ kind: 'learned', document: documentOf(2, 'newer') })
       const askedAt = milliseconds(clock.now() - askedBefore)
       const named = { version, changeId }
-      first.tell({ kind: 'peerConfirmed', name: named, ageMilliseconds: age, askedAt })
+      first.handle({ kind: 'peerConfirmed', name: named, ageMilliseconds: age, askedAt })
       expect(first.confirmed).toEqual(ok)
     })
   }
@@ -315,10 +321,10 @@
   it('keeps its targets when the store has none', () => {
     const { store, first } = start()
     store.swap(documentOf(1, 'base'), 0)
-    first.read(store)
+    first.readStore(store)
     store.document = null
     store.revision = 0
-    first.read(store)
+    first.readStore(store)
     expect(first.version).toEqual(1)
     expect((store.document as VersionedTargets | null)?.changeId).toEqual('base')
     expect(first.freshness).toEqual(1000)
--- a/packages/coordination/__tests__/fleetWorld.ts
+++ b/packages/coordination/__tests__/fleetSimulation.ts
@@ -28,38 +28,38 @@
 const TICK_STEPS = 5
 const HEARTBEAT_STEPS = 10
 
-export interface WorldHost {
+export interface SimulatedHost {
   readonly id: EntryHostId
   readonly zone: string
   readonly region: string
   readonly address: string
 }
 
-interface Running {
-  readonly host: WorldHost
+interface RunningHost {
+  readonly host: SimulatedHost
   readonly membership: MembershipCore
-  readonly news: NewsCore
+  readonly gossip: NewsCore
   readonly links: Set<EntryHostId>
-  wanted: readonly EntryHostId[]
+  neighbours: readonly EntryHostId[]
   frozen: boolean
 }
 
-export class FleetWorld {
+export class FleetSimulation {
   readonly clock = new VirtualClock()
   /** Who called whom failed by its own judgement, in order. */
-  readonly failureCalls: { readonly by: EntryHostId; readonly host: EntryHostId }[] = []
+  readonly failureDeclarations: { readonly by: EntryHostId; readonly host: EntryHostId }[] = []
   readonly #options: MembershipOptions
-  readonly #running = new Map<EntryHostId, Running>()
+  readonly #running = new Map<EntryHostId, RunningHost>()
   readonly #listed = new Map<EntryHostId, ListedEntryHost>()
-  #cut: (left: WorldHost, right: WorldHost) => boolean = () => false
-  #deafToRefutations = false
+  #cut: (left: SimulatedHost, right: SimulatedHost) => boolean = () => false
+  #dropsRefutations = false
   #steps = 0
 
   constructor(options: Partial<MembershipOptions> = {}) {
     this.#options = { ...DEFAULT_MEMBERSHIP_OPTIONS, ...options }
   }
 
-  list(host: WorldHost, state: 'live' | 'leaving' = 'live'): void {
+  list(host: SimulatedHost, state: 'live' | 'leaving' = 'live'): void {
     this.#listed.set(host.id, {
       kind: 'entryHost',
       id: host.id,
@@ -69,16 +69,16 @@
       region: regionId(host.region),
       state,
     })
-    this.#tellList()
+    this.#sendHostList()
   }
 
   unlist(id: EntryHostId): void {
     this.#listed.delete(id)
-    this.#tellList()
+    this.#sendHostList()
   }
 
   /** `bornAt` is the wall clock from which the host takes its incarnation. */
-  start(host: WorldHost, bornAt = 1): void {
+  start(host: SimulatedHost, bornAt = 1): void {
     const self: Member = {
       entryHost: host.id,
       zone: availabilityZoneId(host.zone),
@@ -93,14 +93,14 @@
     const running = {
       host,
       membership,
-      news: new NewsCore(),
+      gossip: new NewsCore(),
       links: new Set<EntryHostId>(),
-      wanted: [],
+      neighbours: [],
       frozen: false,
     }
     this.#running.set(host.id, running)
-    this.#news(running, { kind: 'learned', item: { kind: 'member', member: self } })
-    this.#tellList()
+    this.#handleGossip(running, { kind: 'learned', item: { kind: 'member', member: self } })
+    this.#sendHostList()
   }
 
   /** The process dies; links to it break at once. */
@@ -110,7 +110,7 @@
   }
 
   leave(id: EntryHostId): void {
-    this.#tell(this.#get(id), { kind: 'stop' })
+    this.#handleMembership(this.#get(id), { kind: 'stop' })
     this.kill(id)
   }
 
@@ -118,7 +118,7 @@
     this.#get(id).frozen = frozen
   }
 
-  cut(isCut: (left: WorldHost, right: WorldHost) => boolean): void {
+  cut(isCut: (left: SimulatedHost, right: SimulatedHost) => boolean): void {
     this.#cut = isCut
   }
 
@@ -127,15 +127,15 @@
   }
 
   /** A broken variant: what hosts say against their own failure is not passed on. */
-  ignoreRefutations(): void {
-    this.#deafToRefutations = true
+  dropRefutations(): void {
+    this.#dropsRefutations = true
   }
 
   /** Old news reaches a host late. */
   deliver(to: EntryHostId, member: Member): void {
     const from = entryHostId('late')
     const items = [{ kind: 'member', member } as const]
-    this.#news(this.#get(to), { kind: 'batchReceived', peer: from, items })
+    this.#handleGossip(this.#get(to), { kind: 'batchReceived', peer: from, items })
   }
 
   membership(id: EntryHostId): MembershipCore {
@@ -157,116 +157,118 @@
       this.#steps += 1
       for (const [index, running] of [...this.#running.values()].entries()) {
         if (running.frozen) continue
-        if ((this.#steps + index) % TICK_STEPS === 0) this.#tell(running, { kind: 'tick' })
+        if ((this.#steps + index) % TICK_STEPS === 0)
+          this.#handleMembership(running, { kind: 'tick' })
         const every = HEARTBEAT_STEPS * running.membership.heartbeatEvery
         if ((this.#steps + index) % every === 0) this.#heartbeat(running)
       }
     }
   }
 
-  #heartbeat(running: Running): void {
-    for (const peer of running.wanted) if (!running.links.has(peer)) this.#dial(running, peer)
+  #heartbeat(running: RunningHost): void {
+    for (const peer of running.neighbours) if (!running.links.has(peer)) this.#dial(running, peer)
     for (const peer of running.links) {
       const other = this.#running.get(peer)
       if (other === undefined || !this.#reaches(running, other)) continue
-      this.#heard(other, running)
-      this.#heard(running, other)
+      this.#receiveHeartbeat(other, running)
+      this.#receiveHeartbeat(running, other)
     }
   }
 
-  #heard(hearer: Running, speaker: Running): void {
-    const peer = speaker.host.id
-    this.#tell(hearer, { kind: 'heard', peer })
-    this.#news(hearer, { kind: 'rootHeard', peer, root: speaker.news.root })
+  #receiveHeartbeat(receiver: RunningHost, sender: RunningHost): void {
+    const peer = sender.host.id
+    this.#handleMembership(receiver, { kind: 'heard', peer })
+    this.#handleGossip(receiver, { kind: 'rootHeard', peer, root: sender.gossip.root })
   }
 
-  #dial(running: Running, peer: EntryHostId): void {
+  #dial(running: RunningHost, peer: EntryHostId): void {
     const other = this.#running.get(peer)
     if (other === undefined) {
-      this.#tell(running, { kind: 'linkLost', peer })
+      this.#handleMembership(running, { kind: 'linkLost', peer })
       return
     }
     if (!this.#reaches(running, other)) return
     running.links.add(peer)
     other.links.add(running.host.id)
-    this.#news(running, { kind: 'peerConnected', peer })
-    this.#news(other, { kind: 'peerConnected', peer: running.host.id })
+    this.#handleGossip(running, { kind: 'peerConnected', peer })
+    this.#handleGossip(other, { kind: 'peerConnected', peer: running.host.id })
   }
 
-  #breakLink(running: Running, peer: EntryHostId): void {
+  #breakLink(running: RunningHost, peer: EntryHostId): void {
     if (!running.links.delete(peer)) return
-    this.#news(running, { kind: 'peerDisconnected', peer })
-    this.#tell(running, { kind: 'linkLost', peer })
+    this.#handleGossip(running, { kind: 'peerDisconnected', peer })
+    this.#handleMembership(running, { kind: 'linkLost', peer })
   }
 
-  #reaches(from: Running, to: Running): boolean {
+  #reaches(from: RunningHost, to: RunningHost): boolean {
     return !from.frozen && !to.frozen && !this.#cut(from.host, to.host)
   }
 
-  #tell(running: Running, message: MembershipMessage): void {
+  #handleMembership(running: RunningHost, message: MembershipMessage): void {
     const effects = running.membership.handle(message, this.clock.now())
-    for (const effect of effects) this.#carryOut(running, effect)
+    for (const effect of effects) this.#applyMembershipEffect(running, effect)
   }
 
-  #carryOut(running: Running, effect: MembershipEffect): void {
+  #applyMembershipEffect(running: RunningHost, effect: MembershipEffect): void {
     if (effect.kind === 'spread') {
       const { member } = effect
       if (member.status === 'failed') {
-        this.failureCalls.push({ by: running.host.id, host: member.entryHost })
+        this.failureDeclarations.push({ by: running.host.id, host: member.entryHost })
       }
       const isRefutation = member.entryHost === running.host.id && member.status === 'alive'
-      if (isRefutation && this.#deafToRefutations) return
-      this.#news(running, { kind: 'learned', item: { kind: 'member', member } })
+      if (isRefutation && this.#dropsRefutations) return
+      this.#handleGossip(running, { kind: 'learned', item: { kind: 'member', member } })
     }
-    if (effect.kind === 'neighbours') running.wanted = effect.hosts
-    if (effect.kind === 'forget') running.news.forget(`member/${effect.host}`)
+    if (effect.kind === 'neighbours') running.neighbours = effect.hosts
+    if (effect.kind === 'forget') running.gossip.forget(`member/${effect.host}`)
     if (effect.kind !== 'probe') return
     const helper = this.#running.get(effect.helper)
     const subject = this.#running.get(effect.subject)
     const heard = helper !== undefined && this.#reaches(running, helper)
     const reached = heard && subject !== undefined && this.#reaches(helper, subject)
-    this.#tell(running, { kind: 'probeAnswered', subject: effect.subject, reached })
+    this.#handleMembership(running, { kind: 'probeAnswered', subject: effect.subject, reached })
   }
 
-  #news(running: Running, message: NewsMessage): void {
-    for (const effect of running.news.handle(message)) this.#carryOutNews(running, effect)
+  #handleGossip(running: RunningHost, message: NewsMessage): void {
+    for (const effect of running.gossip.handle(message)) this.#applyGossipEffect(running, effect)
   }
 
-  #carryOutNews(running: Running, effect: NewsEffect): void {
+  #applyGossipEffect(running: RunningHost, effect: NewsEffect): void {
     if (effect.kind === 'changed') {
       if (effect.item.kind === 'member') {
-        this.#tell(running, { kind: 'news', member: effect.item.member })
+        this.#handleMembership(running, { kind: 'news', member: effect.item.member })
       }
       return
     }
     const { peer } = effect
     const other = this.#running.get(peer)
     if (other === undefined || !this.#reaches(running, other)) {
-      if (effect.kind === 'compare') this.#news(running, { kind: 'compareFailed', peer })
-      if (effect.kind === 'fetch') this.#news(running, { kind: 'fetchEnded', peer })
+      if (effect.kind === 'compare') this.#handleGossip(running, { kind: 'compareFailed', peer })
+      if (effect.kind === 'fetch') this.#handleGossip(running, { kind: 'fetchEnded', peer })
       // The batch is lost: a real link is dropped after a while, and compared when it is new.
       if (effect.kind === 'sendBatch') this.#breakLink(running, peer)
       return
     }
     const self = running.host.id
     if (effect.kind === 'sendBatch') {
-      this.#news(other, { kind: 'batchReceived', peer: self, items: effect.items })
-      this.#news(running, { kind: 'batchTaken', peer })
+      this.#handleGossip(other, { kind: 'batchReceived', peer: self, items: effect.items })
+      this.#handleGossip(running, { kind: 'batchTaken', peer })
     } else if (effect.kind === 'compare') {
-      const found = other.news.versionsWhereDiffering(effect.buckets)
-      this.#news(running, { kind: 'compared', peer, versions: found })
+      const found = other.gossip.versionsWhereDiffering(effect.buckets)
+      this.#handleGossip(running, { kind: 'compared', peer, versions: found })
     } else {
-      this.#news(running, { kind: 'fetched', peer, items: other.news.pick(effect.keys) })
-      this.#news(running, { kind: 'fetchEnded', peer })
+      this.#handleGossip(running, { kind: 'fetched', peer, items: other.gossip.pick(effect.keys) })
+      this.#handleGossip(running, { kind: 'fetchEnded', peer })
     }
   }
 
-  #tellList(): void {
+  #sendHostList(): void {
     const hosts = [...this.#listed.values()]
-    for (const running of this.#running.values()) this.#tell(running, { kind: 'hostList', hosts })
+    for (const running of this.#running.values())
+      this.#handleMembership(running, { kind: 'hostList', hosts })
   }
 
-  #get(id: EntryHostId): Running {
+  #get(id: EntryHostId): RunningHost {
     const running = this.#running.get(id)
     if (running === undefined) throw new Error(`${id} does not run`)
     return running
--- a/packages/coordination/__tests__/news.spec.ts
+++ b/packages/coordination/__tests__/gossip.spec.ts
@@ -10,7 +10,7 @@
   term,
   type EntryHostId,
 } from '@nutmegcourse/shared'
-import { NewsCore, NewsDigest, NewsQueue, isNewerRecord, type NewsEffect } from '../src/index.js'
+import { NewsCore, GossipDigest, NewsQueue, isNewerRecord, type NewsEffect } from '../src/index.js'
 
 const PEER = entryHostId('peer')
 const OTHER = entryHostId('other')
@@ -138,22 +138,22 @@
     for (let name = 0; name < 600; name += 1) {
       full.handle({ kind: 'learned', item: group(`db-${name}`, 1, STABLE, 1) })
     }
-    const fresh = new NewsCore()
-    fresh.handle({ kind: 'peerConnected', peer: PEER })
-    fresh.handle({ kind: 'peerConnected', peer: OTHER })
-    const first = fresh.handle({ kind: 'rootHeard', peer: PEER, root: full.root })
-    const second = fresh.handle({ kind: 'rootHeard', peer: OTHER, root: full.root })
+    const newHost = new NewsCore()
+    newHost.handle({ kind: 'peerConnected', peer: PEER })
+    newHost.handle({ kind: 'peerConnected', peer: OTHER })
+    const first = newHost.handle({ kind: 'rootHeard', peer: PEER, root: full.root })
+    const second = newHost.handle({ kind: 'rootHeard', peer: OTHER, root: full.root })
     expect([first.length, second.length]).toEqual([1, 0])
-    const versions = full.versionsWhereDiffering(new NewsDigest().buckets())
-    const fetches = fresh.handle({ kind: 'compared', peer: PEER, versions })
+    const versions = full.versionsWhereDiffering(new GossipDigest().buckets())
+    const fetches = newHost.handle({ kind: 'compared', peer: PEER, versions })
     expect(fetches.map(effect => effect.kind)).toEqual(['fetch', 'fetch', 'fetch'])
-    const taken = fresh.handle({ kind: 'fetched', peer: PEER, items: [...full.items()] })
+    const taken = newHost.handle({ kind: 'fetched', peer: PEER, items: [...full.items()] })
     expect(taken.every(effect => effect.kind === 'changed')).toEqual(true)
     for (const fetch of fetches) {
-      expect(fresh.handle({ kind: 'rootHeard', peer: OTHER, root: 1 })).toEqual([])
-      if (fetch.kind === 'fetch') fresh.handle({ kind: 'fetchEnded', peer: PEER })
+      expect(newHost.handle({ kind: 'rootHeard', peer: OTHER, root: 1 })).toEqual([])
+      if (fetch.kind === 'fetch') newHost.handle({ kind: 'fetchEnded', peer: PEER })
     }
-    expect(fresh.handle({ kind: 'rootHeard', peer: OTHER, root: 1 }).length).toEqual(1)
+    expect(newHost.handle({ kind: 'rootHeard', peer: OTHER, root: 1 }).length).toEqual(1)
   })
 
   it('does not compare over a difference that a push is about to end', () => {
--- a/packages/coordination/__tests__/membership.spec.ts
+++ b/packages/coordination/__tests__/membership.spec.ts
@@ -2,45 +2,45 @@
 import { expect } from 'earl'
 import { entryHostId, incarnation } from '@nutmegcourse/shared'
 import { DEFAULT_NEIGHBOUR_OPTIONS, type MembershipOptions } from '../src/index.js'
-import { FleetWorld, type WorldHost } from './fleetWorld.js'
+import { FleetSimulation, type SimulatedHost } from './fleetSimulation.js'
 
 const ZONES = [
   { zone: 'tanger-nord', region: 'tanger' },
   { zone: 'tanger-sud', region: 'tanger' },
   { zone: 'casa-est', region: 'casa' },
 ]
-const HOSTS: readonly WorldHost[] = [0, 1, 2, 3, 4, 5].map(index => ({
+const HOSTS: readonly SimulatedHost[] = [0, 1, 2, 3, 4, 5].map(index => ({
   id: entryHostId(`host-${index}`),
   address: `10.0.0.${index}`,
   ...(ZONES[index % ZONES.length] ?? { zone: '', region: '' }),
 }))
 const [FIRST, SECOND, THIRD] = HOSTS.map(host => host.id) as [
-  WorldHost['id'],
-  WorldHost['id'],
-  WorldHost['id'],
+  SimulatedHost['id'],
+  SimulatedHost['id'],
+  SimulatedHost['id'],
 ]
 const ALL = HOSTS.map(host => host.id)
 const without = (gone: string): readonly string[] => ALL.filter(id => id !== gone)
 const idsIn = (zone: string): readonly string[] =>
   HOSTS.filter(host => host.zone === zone).map(host => host.id)
 
-function startWorld(options: Partial<MembershipOptions> = {}): FleetWorld {
-  const world = new FleetWorld(options)
+function startSimulation(options: Partial<MembershipOptions> = {}): FleetSimulation {
+  const world = new FleetSimulation(options)
   for (const host of HOSTS) world.list(host)
   for (const host of HOSTS) world.start(host)
   world.run(3000)
   return world
 }
 
-interface Story {
+interface Scenario {
   readonly name: string
-  readonly happens: (world: FleetWorld) => void
-  readonly within: number
+  readonly arrange: (world: FleetSimulation) => void
+  readonly withinMilliseconds: number
   /** Who is alive, as each listed viewer sees it in the end. */
   readonly views: readonly { readonly at: readonly string[]; readonly alive: readonly string[] }[]
 }
 
-const NEW_HOST: WorldHost = {
+const NEW_HOST: SimulatedHost = {
   id: entryHostId('host-new'),
   zone: 'casa-est',
   region: 'casa',
@@ -48,88 +48,88 @@
 }
 const crossing =
   (zone: string) =>
-  (left: WorldHost, right: WorldHost): boolean =>
+  (left: SimulatedHost, right: SimulatedHost): boolean =>
     (left.zone === zone) !== (right.zone === zone)
 
-const STORIES: readonly Story[] = [
+const SCENARIOS: readonly Scenario[] = [
   {
     // A host joins before the lagging list names it to the others: it dials them, and they take it in.
     name: 'a new host that the list does not name yet',
-    happens: world => {
+    arrange: world => {
       world.start(NEW_HOST, 5)
     },
-    within: 2500,
+    withinMilliseconds: 2500,
     views: [{ at: [...ALL, NEW_HOST.id], alive: [...ALL, NEW_HOST.id].sort() }],
   },
   {
     // Its connections break at once and nobody who is asked reaches it: no need to wait for silence.
     name: 'a killed host',
-    happens: world => {
+    arrange: world => {
       world.kill(FIRST)
     },
-    within: 2500,
+    withinMilliseconds: 2500,
     views: [{ at: without(FIRST), alive: without(FIRST) }],
   },
   {
     // A frozen host keeps its connections open and says nothing.
     name: 'a frozen host',
-    happens: world => {
+    arrange: world => {
       world.freeze(FIRST, true)
     },
-    within: 6000,
+    withinMilliseconds: 6000,
     views: [{ at: without(FIRST), alive: without(FIRST) }],
   },
   {
     // The host wakes, hears that it was called failed, and takes a newer incarnation. It must not
     // call everyone else failed because it heard nobody while it was frozen.
     name: 'a frozen host that is thawed',
-    happens: world => {
+    arrange: world => {
       world.freeze(FIRST, true)
       world.run(20_000)
       world.freeze(FIRST, false)
     },
-    within: 8000,
+    withinMilliseconds: 8000,
     views: [{ at: ALL, alive: ALL }],
   },
   {
     // The host is replaced by one with a clock that runs behind, so that its incarnation is lower
     // than its former life's: it hears of that life and outbids it.
     name: 'a replaced host whose clock runs behind',
-    happens: world => {
+    arrange: world => {
       world.kill(FIRST)
       world.run(5000)
       world.start(HOSTS[0] ?? NEW_HOST, 0)
     },
-    within: 5000,
+    withinMilliseconds: 5000,
     views: [{ at: ALL, alive: ALL }],
   },
   {
     // A new host has the address of one that died; who dials the old one reaches somebody else.
     name: 'a host replaced under another name at the same address',
-    happens: world => {
+    arrange: world => {
       world.kill(FIRST)
-      const heir = { ...NEW_HOST, address: HOSTS[0]?.address ?? '' }
-      world.list(heir)
-      world.start(heir, 7)
+      const replacement = { ...NEW_HOST, address: HOSTS[0]?.address ?? '' }
+      world.list(replacement)
+      world.start(replacement, 7)
     },
-    within: 5000,
+    withinMilliseconds: 5000,
     views: [{ at: without(FIRST), alive: [...without(FIRST), NEW_HOST.id].sort() }],
   },
   {
     name: 'a host that stops by plan',
-    happens: world => {
+    arrange: world => {
       world.leave(FIRST)
     },
-    within: 500,
+    withinMilliseconds: 500,
     views: [{ at: without(FIRST), alive: without(FIRST) }],
   },
   {
     // A zone is cut off. Each side goes on with whom it reaches.
     name: 'a zone cut off',
-    happens: world => {
+    arrange: world => {
       world.cut(crossing('casa-est'))
     },
-    within: 8000,
+    withinMilliseconds: 8000,
     views: [
       { at: idsIn('casa-est'), alive: idsIn('casa-est') },
       { at: [FIRST, SECOND], alive: [...idsIn('tanger-nord'), ...idsIn('tanger-sud')].sort() },
@@ -138,18 +138,18 @@
   {
     // The same, healed after a while: both sides dial again whom they hold to be gone.
     name: 'a zone cut off and joined again',
-    happens: world => {
+    arrange: world => {
       world.cut(crossing('casa-est'))
       world.run(60_000)
       world.heal()
     },
-    within: 10_000,
+    withinMilliseconds: 10_000,
     views: [{ at: ALL, alive: ALL }],
   },
   {
     // Word of a former life, held up somewhere, arrives long after the host came back.
     name: 'late word of a former life',
-    happens: world => {
+    arrange: world => {
       const former = world.membership(FIRST).self
       world.kill(FIRST)
       world.run(3000)
@@ -158,18 +158,18 @@
       world.deliver(SECOND, { ...former, status: 'failed' })
       world.deliver(THIRD, { ...former, status: 'left' })
     },
-    within: 3000,
+    withinMilliseconds: 3000,
     views: [{ at: ALL, alive: ALL }],
   },
 ]
 
 describe('membership', () => {
-  for (const story of STORIES) {
-    it(`settles on who lives after ${story.name}`, () => {
-      const world = startWorld()
-      story.happens(world)
-      world.run(story.within)
-      for (const { at, alive } of story.views) {
+  for (const scenario of SCENARIOS) {
+    it(`settles on who lives after ${scenario.name}`, () => {
+      const world = startSimulation()
+      scenario.arrange(world)
+      world.run(scenario.withinMilliseconds)
+      for (const { at, alive } of scenario.views) {
         for (const viewer of at) expect(world.aliveAt(entryHostId(viewer))).toEqual([...alive])
       }
     })
@@ -180,38 +180,38 @@
   const partialCuts = [
     {
       name: 'one broken path between two hosts',
-      isCut: (left: WorldHost, right: WorldHost) =>
+      isCut: (left: SimulatedHost, right: SimulatedHost) =>
         [left.id, right.id].includes(FIRST) && [left.id, right.id].includes(SECOND),
     },
     {
       name: 'two zones that reach each other only through a third',
-      isCut: (left: WorldHost, right: WorldHost) =>
+      isCut: (left: SimulatedHost, right: SimulatedHost) =>
         [left.zone, right.zone].sort().join() === 'tanger-nord,tanger-sud',
     },
   ]
   for (const { name, isCut } of partialCuts) {
     it(`calls nobody failed over ${name}`, () => {
-      const world = startWorld()
+      const world = startSimulation()
       world.cut(isCut)
       world.run(30_000)
-      expect(world.failureCalls).toEqual([])
+      expect(world.failureDeclarations).toEqual([])
     })
 
     it(`calls hosts failed over ${name} when no helper is asked`, () => {
-      const world = startWorld({ helpers: 0 })
+      const world = startSimulation({ helpers: 0 })
       world.cut(isCut)
       world.run(30_000)
-      expect(world.failureCalls.length > 0).toEqual(true)
+      expect(world.failureDeclarations.length > 0).toEqual(true)
     })
   }
 
   it('calls nobody failed over a pause shorter than its patience', () => {
-    const world = startWorld()
+    const world = startSimulation()
     world.freeze(FIRST, true)
     world.run(2500)
     world.freeze(FIRST, false)
     world.run(10_000)
-    expect(world.failureCalls).toEqual([])
+    expect(world.failureDeclarations).toEqual([])
   })
 
   // A host is frozen for long and thawed. By its own clock nobody spoke for all that time, and with
@@ -221,18 +221,21 @@
     { pauseHeartbeats: Number.POSITIVE_INFINITY, calls: ALL.length - 1 },
   ]) {
     it(`a thawed host calls ${calls} others failed with a pause bound of ${pauseHeartbeats}`, () => {
-      const world = startWorld({ pauseHeartbeats, inquiryMilliseconds: 0 })
+      const world = startSimulation({
+        stallHeartbeats: pauseHeartbeats,
+        indirectProbeMilliseconds: 0,
+      })
       world.freeze(FIRST, true)
       world.run(10_000)
       world.freeze(FIRST, false)
       world.run(1000)
-      expect(world.failureCalls.filter(({ by }) => by === FIRST).length).toEqual(calls)
+      expect(world.failureDeclarations.filter(({ by }) => by === FIRST).length).toEqual(calls)
     })
   }
 
   it('stays without a thawed host when its refutation is not heard', () => {
-    const world = startWorld()
-    world.ignoreRefutations()
+    const world = startSimulation()
+    world.dropRefutations()
     world.freeze(FIRST, true)
     world.run(20_000)
     world.freeze(FIRST, false)
@@ -241,7 +244,7 @@
   })
 
   it('gives no work to a host that the list calls leaving', () => {
-    const world = startWorld()
+    const world = startSimulation()
     world.list(HOSTS[0] ?? NEW_HOST, 'leaving')
     const workers = world.membership(SECOND).workers(world.clock.now())
     expect(workers.map(host => host.entryHost).includes(FIRST)).toEqual(false)
@@ -251,7 +254,7 @@
   // A host begins and has heard nobody. Alone in its own eyes it would watch every database and open
   // a connection to every backend server of the fleet.
   it('takes listed hosts for workers until it has settled, and then only those it heard of', () => {
-    const world = new FleetWorld()
+    const world = new FleetSimulation()
     for (const host of HOSTS) world.list(host)
     world.start(HOSTS[0] ?? NEW_HOST)
     const workers = (): number => world.membership(FIRST).workers(world.clock.now()).length
@@ -261,7 +264,7 @@
   })
 
   it('takes no word of a former life, whatever brings it', () => {
-    const world = startWorld()
+    const world = startSimulation()
     const core = world.membership(SECOND)
     const former = world.membership(FIRST).self
     const later = { ...former, incarnation: incarnation(9) }
@@ -271,7 +274,7 @@
   })
 
   it('counts a cut-off host among those that may hold connections until it is unlisted', () => {
-    const world = startWorld()
+    const world = startSimulation()
     world.kill(FIRST)
     world.run(5000)
     expect(world.membership(SECOND).connectionHolders()).toEqual(ALL.length)
@@ -280,7 +283,7 @@
   })
 
   it('forgets a host that is gone and unlisted for long', () => {
-    const world = startWorld({ forgetMilliseconds: 10_000 })
+    const world = startSimulation({ forgetMilliseconds: 10_000 })
     world.kill(FIRST)
     world.unlist(FIRST)
     world.run(15_000)
@@ -293,7 +296,7 @@
 
   it('settles in a fleet where each host has only a few links', () => {
     const neighbours = { ...DEFAULT_NEIGHBOUR_OPTIONS, fullMeshHosts: 4 }
-    const world = new FleetWorld({ neighbours })
+    const world = new FleetSimulation({ neighbours })
     const many = Array.from({ length: 60 }, (_, index) => ({
       id: entryHostId(`many-${index}`),
       address: `10.1.0.${index}`,
--- a/packages/coordination/__tests__/synchronous/choiceExplorer.ts
+++ b/packages/coordination/__tests__/synchronous/choiceExplorer.ts
@@ -22,7 +22,7 @@
   }
 
   /** The next sequence in order; null after the last. */
-  following(): number[] | null {
+  nextSequence(): number[] | null {
     for (let at = this.#taken.length - 1; at >= 0; at -= 1) {
       const choice = this.#taken[at] ?? 0
       if (choice + 1 < (this.#options[at] ?? 0)) return [...this.#taken.slice(0, at), choice + 1]
@@ -32,12 +32,12 @@
 }
 
 /** How many sequences were run, up to the first whose story returns false. */
-export async function explore(story: (choices: Choices) => Promise<boolean>): Promise<number> {
+export async function explore(scenario: (choices: Choices) => Promise<boolean>): Promise<number> {
   let runs = 0
   for (let prefix: number[] | null = []; prefix !== null; runs += 1) {
     const choices: Choices = new Choices(prefix)
-    if (!(await story(choices))) return runs + 1
-    prefix = choices.following()
+    if (!(await scenario(choices))) return runs + 1
+    prefix = choices.nextSequence()
   }
   return runs
 }
--- a/packages/coordination/__tests__/synchronous/primaryChange.spec.ts
+++ b/packages/coordination/__tests__/synchronous/primaryChange.spec.ts
@@ -26,7 +26,7 @@
   readonly received = new Map<BackendServerId, number>()
   readonly pausedFor = new Map<BackendServerId, Term>()
   readonly unreachable = new Set<BackendServerId>()
-  readonly deaf = new Set<BackendServerId>()
+  readonly notReceiving = new Set<BackendServerId>()
   acknowledged = 0
   primaryWrites = true
   steppedDown = false
@@ -49,7 +49,7 @@
     const next = (this.received.get(P) ?? 0) + 1
     this.received.set(P, next)
     for (const server of [A, B]) {
-      if (this.pausedFor.has(server) || this.deaf.has(server)) continue
+      if (this.pausedFor.has(server) || this.notReceiving.has(server)) continue
       this.received.set(server, next)
       this.acknowledged = next
     }
@@ -69,7 +69,8 @@
   stepDown(server: BackendServerId): Promise<ServerReport | null> {
     if (!this.unreachable.has(server)) this.steppedDown = true
     for (const each of [A, B]) {
-      if (this.pausedFor.has(each) || this.deaf.has(each) || this.unreachable.has(each)) continue
+      if (this.pausedFor.has(each) || this.notReceiving.has(each) || this.unreachable.has(each))
+        continue
       this.received.set(each, this.received.get(P) ?? 0)
     }
     return Promise.resolve(this.#describe(server))
@@ -152,14 +153,14 @@
     members: [member(A, { isLeaving: true }), member(B)],
     arrange: group => {
       group.primaryWrites = false
-      group.deaf.add(B)
+      group.notReceiving.add(B)
     },
     chosen: A,
   },
   {
     name: 'a deaf candidate is found out, and the other one is chosen',
     positions: { p: 100, a: 95, b: 100 },
-    arrange: group => group.deaf.add(A),
+    arrange: group => group.notReceiving.add(A),
     chosen: B,
   },
   {
@@ -181,7 +182,7 @@
     positions: { p: 100, a: 90, b: 100 },
     arrange: group => {
       group.unreachable.add(B)
-      group.deaf.add(A)
+      group.notReceiving.add(A)
     },
     chosen: 'notCaughtUp',
   },
--- a/packages/coordination/__tests__/synchronous/primaryChoiceExplored.spec.ts
+++ b/packages/coordination/__tests__/synchronous/primaryChoiceExplored.spec.ts
@@ -16,8 +16,8 @@
 const NEXT = term(2)
 
 /** In one run. */
-const MOST_EVENTS = 2
-const MOST_LOST_ORDERS = 1
+const EVENT_LIMIT = 2
+const LOST_COMMAND_LIMIT = 1
 
 type Variant = 'shipped' | 'pauseIsIgnored' | 'stepDownIsIgnored' | 'firstAnswerWins'
 
@@ -67,25 +67,25 @@
   }
 
   report(server: BackendServerId): Promise<ServerReport | null> {
-    return this.#order(server, () => undefined)
+    return this.#command(server, () => undefined)
   }
 
   pause(server: BackendServerId): Promise<ServerReport | null> {
-    return this.#order(server, () => this.#paused.add(server))
+    return this.#command(server, () => this.#paused.add(server))
   }
 
   stepDown(server: BackendServerId): Promise<ServerReport | null> {
-    return this.#order(server, () => (this.#hasSteppedDown = true))
+    return this.#command(server, () => (this.#hasSteppedDown = true))
   }
 
   rest(): Promise<void> {
-    this.happen()
+    this.nextEvent()
     return Promise.resolve()
   }
 
   /** One of the events, or nothing. */
-  happen(): void {
-    if (this.#events >= MOST_EVENTS) return
+  nextEvent(): void {
+    if (this.#events >= EVENT_LIMIT) return
     const event = EVENTS[this.#choices.next(EVENTS.length)] ?? 'nothing'
     if (event === 'nothing') return
     this.#events += 1
@@ -122,13 +122,13 @@
   }
 
   /** Carried out and answered, carried out and the answer lost, or lost on the way. */
-  #order(server: BackendServerId, act: () => unknown): Promise<ServerReport | null> {
-    this.happen()
+  #command(server: BackendServerId, effect: () => unknown): Promise<ServerReport | null> {
+    this.nextEvent()
     if (server === P && this.#isDead) return Promise.resolve(null)
-    const fate = this.#lostOrders < MOST_LOST_ORDERS ? this.#choices.next(3) : 0
-    if (fate !== 0) this.#lostOrders += 1
-    if (fate !== 2) act()
-    return Promise.resolve(fate === 0 ? this.#describe(server) : null)
+    const outcome = this.#lostOrders < LOST_COMMAND_LIMIT ? this.#choices.next(3) : 0
+    if (outcome !== 0) this.#lostOrders += 1
+    if (outcome !== 2) effect()
+    return Promise.resolve(outcome === 0 ? this.#describe(server) : null)
   }
 
   #describe(server: BackendServerId): ServerReport {
@@ -166,7 +166,7 @@
     if (chosen === null) return true
     promotions += 1
     // From the choice until the promotion takes effect the old primary may still write.
-    group.happen()
+    group.nextEvent()
     if (group.at(chosen) < group.acknowledged) losses += 1
     return losses === 0
   })
--- a/packages/coordination/__tests__/virtualNetwork.ts
+++ b/packages/coordination/__tests__/virtualNetwork.ts
@@ -17,10 +17,10 @@
   zones: ['salt-lake', 'new-town', 'matigara'],
   zoneLatency: 0.5,
 }
-const BETWEEN_REGIONS_MILLISECONDS = 20
-const WITHIN_ZONE_MILLISECONDS = 0.1
+const INTER_REGION_LATENCY_MILLISECONDS = 20
+const INTRA_ZONE_LATENCY_MILLISECONDS = 0.1
 
-interface Occurrence {
+interface ScheduledEvent {
   readonly at: number
   readonly order: number
   readonly run: () => void
@@ -29,7 +29,7 @@
 export class VirtualNetwork {
   readonly clock = new VirtualClock()
   readonly place: Place
-  readonly #queue = new TinyQueue<Occurrence>([], (left, right) =>
+  readonly #queue = new TinyQueue<ScheduledEvent>([], (left, right) =>
     left.at === right.at ? left.order - right.order : left.at - right.at,
   )
   readonly #zoneOf = new Map<string, string>()
@@ -115,7 +115,7 @@
   /** Delivers after the link's latency, unless a cut parts the two; a frozen receiver holds it. */
   pass(from: string, to: string, deliver: () => void): void {
     this.schedule(this.#latency(from, to), () => {
-      if (!this.#isParted(from, to)) this.whenAwake(to, deliver)
+      if (!this.#isDisconnected(from, to)) this.whenAwake(to, deliver)
     })
   }
 
@@ -129,12 +129,12 @@
   #latency(from: string, to: string): number {
     const left = this.#zoneOf.get(from) ?? ''
     const right = this.#zoneOf.get(to) ?? ''
-    if (left === right) return WITHIN_ZONE_MILLISECONDS
+    if (left === right) return INTRA_ZONE_LATENCY_MILLISECONDS
     const isNear = this.regionOf(left) === this.regionOf(right)
-    return isNear ? this.place.zoneLatency : BETWEEN_REGIONS_MILLISECONDS
+    return isNear ? this.place.zoneLatency : INTER_REGION_LATENCY_MILLISECONDS
   }
 
-  #isParted(from: string, to: string): boolean {
+  #isDisconnected(from: string, to: string): boolean {
     const sides = (name: string): readonly string[] => [name, this.#zoneOf.get(name) ?? '']
     return [...this.#cuts].some(cut => sides(from).includes(cut) !== sides(to).includes(cut))
   }
--- a/packages/coordination/src/configurationCore.ts
+++ b/packages/coordination/src/configurationCore.ts
@@ -26,12 +26,12 @@
 
 export class ConfigurationCore {
   readonly #options: ConfigurationOptions
-  readonly #changeOfVersion = new Map<number, string>()
+  readonly #changeIdByVersion = new Map<number, string>()
   #newest: VersionedTargets | null = null
   #previous: VersionedTargets | null = null
   #confirmedAt: Milliseconds | null = null
   #reportedConfirmed = false
-  #repairing = false
+  #isRepairing = false
 
   constructor(options: ConfigurationOptions = DEFAULT_CONFIGURATION_OPTIONS) {
     this.#options = options
@@ -73,7 +73,7 @@
         this.#peerConfirmed(message.name, message.askedAt, message.ageMilliseconds)
         return this.#reportConfirmation(now)
       case 'repairEnded':
-        this.#repairing = false
+        this.#isRepairing = false
         return []
       case 'tick':
         return this.#reportConfirmation(now)
@@ -109,16 +109,17 @@
     stored: VersionedTargets | null,
     revision: number,
   ): readonly ConfigurationEffect[] {
-    if (this.#repairing) return []
-    this.#repairing = true
-    const document = this.#isFork(stored, newest) ? moveAbove(stored, newest) : newest
+    if (this.#isRepairing) return []
+    this.#isRepairing = true
+    const document = this.#isFork(stored, newest) ? renumberAbove(stored, newest) : newest
     return [{ kind: 'repairStore', document, expectedRevision: revision }]
   }
 
   /** A host that can not tell takes the document for the older copy that it mostly is. */
   #isFork(stored: VersionedTargets | null, newest: VersionedTargets): stored is VersionedTargets {
     if (stored === null) return false
-    const known = this.#changeOfVersion.get(stored.version) ?? formerChange(newest, stored.version)
+    const known =
+      this.#changeIdByVersion.get(stored.version) ?? recordedChangeId(newest, stored.version)
     return known !== undefined && known !== stored.changeId
   }
 
@@ -153,10 +154,10 @@
   }
 
   #remember(document: VersionedTargets): void {
-    this.#changeOfVersion.set(document.version, document.changeId)
-    if (this.#changeOfVersion.size <= REMEMBERED_VERSIONS) return
-    const [oldest] = this.#changeOfVersion.keys()
-    if (oldest !== undefined) this.#changeOfVersion.delete(oldest)
+    this.#changeIdByVersion.set(document.version, document.changeId)
+    if (this.#changeIdByVersion.size <= REMEMBERED_VERSIONS) return
+    const [oldest] = this.#changeIdByVersion.keys()
+    if (oldest !== undefined) this.#changeIdByVersion.delete(oldest)
   }
 
   #reportConfirmation(now: Milliseconds): readonly ConfigurationEffect[] {
@@ -168,11 +169,11 @@
 }
 
 /** The change that `version` was, by the history that a later document carries. */
-function formerChange(document: VersionedTargets, version: number): string | undefined {
+function recordedChangeId(document: VersionedTargets, version: number): string | undefined {
   return document.recentChangeIds.at(version - document.version)
 }
 
-function moveAbove(change: VersionedTargets, newest: VersionedTargets): VersionedTargets {
+function renumberAbove(change: VersionedTargets, newest: VersionedTargets): VersionedTargets {
   const recentChangeIds = [...newest.recentChangeIds, newest.changeId].slice(-RECENT_CHANGES_KEPT)
   return { ...change, version: newest.version + 1, recentChangeIds }
 }
--- a/packages/coordination/src/newsCore.ts
+++ b/packages/coordination/src/gossipCore.ts
@@ -11,22 +11,22 @@
   type NewsVersion,
 } from '@nutmegcourse/protocol'
 import { assertNever, type EntryHostId } from '@nutmegcourse/shared'
-import { NewsDigest, bucketOf } from './newsDigest.js'
-import type { HeldVersion, NewsEffect, NewsMessage } from './newsMessages.js'
-import { DEFAULT_NEWS_QUEUE, NewsQueue, type NewsQueueOptions } from './newsQueue.js'
+import { GossipDigest, bucketOf } from './gossipDigest.js'
+import type { HeldVersion, NewsEffect, NewsMessage } from './gossipMessages.js'
+import { DEFAULT_GOSSIP_QUEUE, NewsQueue, type NewsQueueOptions } from './gossipQueue.js'
 
 /** Items in one message: large enough to drain a burst, small enough not to hold up a heartbeat. */
 const BATCH_ITEMS = 64
-const FETCH_KEYS = 256
+const FETCH_BATCH_KEYS = 256
 /** Fetched items up to so many are passed on. */
-const RELAYED_ITEMS = 16
+const RELAYED_ITEMS_LIMIT = 16
 /** A push under way makes digests differ for a moment; only a lasting difference is worth a comparison. */
 const DIFFERENCES_BEFORE_COMPARING = 2
 
 interface Peer {
   readonly queue: NewsQueue
   sending: boolean
-  differences: number
+  consecutiveDifferences: number
 }
 
 /** A comparison under way: from the question for versions until the last missing item is in. */
@@ -38,11 +38,11 @@
 export class NewsCore {
   readonly #queueOptions: NewsQueueOptions
   readonly #items = new Map<string, NewsItem>()
-  readonly #digest = new NewsDigest()
+  readonly #digest = new GossipDigest()
   readonly #peers = new Map<EntryHostId, Peer>()
   #comparison: Comparison | null = null
 
-  constructor(queueOptions: NewsQueueOptions = DEFAULT_NEWS_QUEUE) {
+  constructor(queueOptions: NewsQueueOptions = DEFAULT_GOSSIP_QUEUE) {
     this.#queueOptions = queueOptions
   }
 
@@ -65,7 +65,7 @@
 
   /** The answer to a peer's `compare`: what this host holds in the buckets that differ. */
   versionsWhereDiffering(buckets: readonly number[]): readonly HeldVersion[] {
-    return this.#versionsIn(new Set(this.#digest.differing(buckets)))
+    return this.#versionsIn(new Set(this.#digest.differingBuckets(buckets)))
   }
 
   /** Drops an item that no longer matters; it must not be taken in again. */
@@ -83,7 +83,7 @@
       case 'batchReceived':
         return this.#learn(message.items, message.peer)
       case 'fetched':
-        return this.#takeIn(message.items, message.peer)
+        return this.#receiveFetched(message.items, message.peer)
       case 'peerConnected':
         this.#peers.set(message.peer, this.#newPeer())
         return []
@@ -92,11 +92,11 @@
         this.#endComparison(message.peer)
         return []
       case 'batchTaken':
-        return this.#batchTaken(message.peer)
+        return this.#batchAcknowledged(message.peer)
       case 'rootHeard':
-        return this.#rootHeard(message.peer, message.root)
+        return this.#receiveRoot(message.peer, message.root)
       case 'compared':
-        return this.#compared(message.peer, message.versions)
+        return this.#receiveVersions(message.peer, message.versions)
       case 'fetchEnded':
         this.#fetchEnded(message.peer)
         return []
@@ -113,7 +113,7 @@
       queue: new NewsQueue(this.#queueOptions),
       sending: false,
       // A fresh link is compared at its first heartbeat: either side may have missed a lot.
-      differences: DIFFERENCES_BEFORE_COMPARING - 1,
+      consecutiveDifferences: DIFFERENCES_BEFORE_COMPARING - 1,
     }
   }
 
@@ -126,8 +126,8 @@
    * A few items are a push that ended somewhere, as at a healed cut, and go on from here. Many are a
    * whole state that this host lacked: pushed on, a host that joins would send it to every neighbour.
    */
-  #takeIn(items: readonly NewsItem[], from: EntryHostId): readonly NewsEffect[] {
-    if (items.length <= RELAYED_ITEMS) return this.#learn(items, from)
+  #receiveFetched(items: readonly NewsItem[], from: EntryHostId): readonly NewsEffect[] {
+    if (items.length <= RELAYED_ITEMS_LIMIT) return this.#learn(items, from)
     return items.filter(item => this.#adopt(item)).map(changed)
   }
 
@@ -165,7 +165,7 @@
     return [{ kind: 'sendBatch', peer: id, items }]
   }
 
-  #batchTaken(id: EntryHostId): readonly NewsEffect[] {
+  #batchAcknowledged(id: EntryHostId): readonly NewsEffect[] {
     const peer = this.#peers.get(id)
     if (peer === undefined) return []
     peer.sending = false
@@ -176,23 +176,24 @@
    * One comparison at a time, and each side takes what it lacks itself: a host that has just begun
    * differs from all its neighbours, and would get the whole state from every one of them.
    */
-  #rootHeard(id: EntryHostId, root: number): readonly NewsEffect[] {
+  #receiveRoot(id: EntryHostId, root: number): readonly NewsEffect[] {
     const peer = this.#peers.get(id)
     if (peer === undefined) return []
     if (root === this.#digest.root()) {
-      peer.differences = 0
+      peer.consecutiveDifferences = 0
       return []
     }
-    peer.differences += 1
-    if (this.#comparison !== null || peer.differences < DIFFERENCES_BEFORE_COMPARING) return []
+    peer.consecutiveDifferences += 1
+    if (this.#comparison !== null || peer.consecutiveDifferences < DIFFERENCES_BEFORE_COMPARING)
+      return []
     this.#comparison = { peer: id, fetchesLeft: 0 }
     return [{ kind: 'compare', peer: id, buckets: this.#digest.buckets() }]
   }
 
-  #compared(id: EntryHostId, versions: readonly HeldVersion[]): readonly NewsEffect[] {
+  #receiveVersions(id: EntryHostId, versions: readonly HeldVersion[]): readonly NewsEffect[] {
     if (this.#comparison?.peer !== id) return []
-    const wanted = versions.filter(([key, version]) => this.#isNewer(key, version))
-    const effects = fetches(id, wanted)
+    const missing = versions.filter(([key, version]) => this.#isNewer(key, version))
+    const effects = fetches(id, missing)
     this.#comparison.fetchesLeft = effects.length
     if (effects.length === 0) this.#endComparison(id)
     return effects
@@ -213,7 +214,7 @@
     if (this.#comparison?.peer !== id) return
     this.#comparison = null
     const peer = this.#peers.get(id)
-    if (peer !== undefined) peer.differences = 0
+    if (peer !== undefined) peer.consecutiveDifferences = 0
   }
 
   #versionsIn(buckets: ReadonlySet<number>): readonly HeldVersion[] {
@@ -227,11 +228,11 @@
 
 const changed = (item: NewsItem): NewsEffect => ({ kind: 'changed', item })
 
-function fetches(peer: EntryHostId, wanted: readonly HeldVersion[]): readonly NewsEffect[] {
-  const keys = wanted.map(([key]) => key)
+function fetches(peer: EntryHostId, missing: readonly HeldVersion[]): readonly NewsEffect[] {
+  const keys = missing.map(([key]) => key)
   const effects: NewsEffect[] = []
-  for (let start = 0; start < keys.length; start += FETCH_KEYS) {
-    effects.push({ kind: 'fetch', peer, keys: keys.slice(start, start + FETCH_KEYS) })
+  for (let start = 0; start < keys.length; start += FETCH_BATCH_KEYS) {
+    effects.push({ kind: 'fetch', peer, keys: keys.slice(start, start + FETCH_BATCH_KEYS) })
   }
   return effects
 }
--- a/packages/coordination/src/newsDigest.ts
+++ b/packages/coordination/src/gossipDigest.ts
@@ -9,7 +9,7 @@
 
 export const bucketOf = (key: string): number => stableHash(key) % DIGEST_BUCKETS
 
-export class NewsDigest {
+export class GossipDigest {
   readonly #buckets = new Array<number>(DIGEST_BUCKETS).fill(0)
 
   /** Adds a version, or takes it out again: each is the other's inverse. */
@@ -29,7 +29,7 @@
   }
 
   /** Numbers of the buckets in which another host holds something else. */
-  differing(others: readonly number[]): readonly number[] {
+  differingBuckets(others: readonly number[]): readonly number[] {
     return this.#buckets.flatMap((hash, bucket) => (hash === others[bucket] ? [] : [bucket]))
   }
 }
--- a/packages/coordination/src/newsQueue.ts
+++ b/packages/coordination/src/gossipQueue.ts
@@ -11,21 +11,21 @@
   readonly replaceOlder: boolean
 }
 
-export const DEFAULT_NEWS_QUEUE: NewsQueueOptions = { limit: 4096, replaceOlder: true }
+export const DEFAULT_GOSSIP_QUEUE: NewsQueueOptions = { limit: 4096, replaceOlder: true }
 
 export class NewsQueue {
   readonly #options: NewsQueueOptions
-  readonly #waiting = new Map<string, NewsItem>()
+  readonly #pending = new Map<string, NewsItem>()
   #arrivals = 0
   #replaced = 0
   #dropped = 0
 
-  constructor(options: NewsQueueOptions = DEFAULT_NEWS_QUEUE) {
+  constructor(options: NewsQueueOptions = DEFAULT_GOSSIP_QUEUE) {
     this.#options = options
   }
 
   get length(): number {
-    return this.#waiting.size
+    return this.#pending.size
   }
 
   /** Items that never had to be sent because a newer one came before their turn. */
@@ -41,28 +41,28 @@
   push(item: NewsItem): void {
     this.#arrivals += 1
     const key = this.#options.replaceOlder ? newsKey(item) : `${this.#arrivals}`
-    if (this.#waiting.has(key)) {
+    if (this.#pending.has(key)) {
       this.#replaced += 1
-    } else if (this.#waiting.size >= this.#options.limit) {
+    } else if (this.#pending.size >= this.#options.limit) {
       this.#dropped += 1
       return
     }
     // A replaced item keeps its turn, so that a key that changes all the time is still sent.
-    this.#waiting.set(key, item)
+    this.#pending.set(key, item)
   }
 
   /** Takes the oldest items, `most` at most. */
-  take(most: number): readonly NewsItem[] {
+  take(limit: number): readonly NewsItem[] {
     const taken: NewsItem[] = []
-    for (const [key, item] of this.#waiting) {
-      if (taken.length >= most) break
+    for (const [key, item] of this.#pending) {
+      if (taken.length >= limit) break
       taken.push(item)
-      this.#waiting.delete(key)
+      this.#pending.delete(key)
     }
     return taken
   }
 
   clear(): void {
-    this.#waiting.clear()
+    this.#pending.clear()
   }
 }
--- a/packages/coordination/src/silenceInquiries.ts
+++ b/packages/coordination/src/indirectProbes.ts
@@ -1,17 +1,17 @@
 /** Silent hosts that helpers are looking for. */
 import type { EntryHostId, Milliseconds } from '@nutmegcourse/shared'
 
-interface Inquiry {
+interface IndirectProbe {
   readonly deadline: Milliseconds
-  unanswered: number
+  pendingHelpers: number
 }
 
-export class SilenceInquiries {
-  readonly #patience: number
-  readonly #open = new Map<EntryHostId, Inquiry>()
+export class IndirectProbes {
+  readonly #timeoutMilliseconds: number
+  readonly #open = new Map<EntryHostId, IndirectProbe>()
 
-  constructor(patience: number) {
-    this.#patience = patience
+  constructor(timeoutMilliseconds: number) {
+    this.#timeoutMilliseconds = timeoutMilliseconds
   }
 
   isOpen(subject: EntryHostId): boolean {
@@ -19,8 +19,8 @@
   }
 
   open(subject: EntryHostId, helpers: number, now: Milliseconds): void {
-    const deadline = (now + this.#patience) as Milliseconds
-    this.#open.set(subject, { deadline, unanswered: helpers })
+    const deadline = (now + this.#timeoutMilliseconds) as Milliseconds
+    this.#open.set(subject, { deadline, pendingHelpers: helpers })
   }
 
   close(subject: EntryHostId): void {
@@ -32,18 +32,18 @@
   }
 
   /** One helper did not reach it. True, and closed, when that was the last one. */
-  deny(subject: EntryHostId): boolean {
-    const inquiry = this.#open.get(subject)
-    if (inquiry === undefined) return false
-    inquiry.unanswered -= 1
-    if (inquiry.unanswered > 0) return false
+  recordFailure(subject: EntryHostId): boolean {
+    const probe = this.#open.get(subject)
+    if (probe === undefined) return false
+    probe.pendingHelpers -= 1
+    if (probe.pendingHelpers > 0) return false
     this.#open.delete(subject)
     return true
   }
 
   /** Closes and returns those whose time is up. */
   expired(now: Milliseconds): readonly EntryHostId[] {
-    const subjects = [...this.#open].filter(([, inquiry]) => now >= inquiry.deadline)
+    const subjects = [...this.#open].filter(([, probe]) => now >= probe.deadline)
     for (const [subject] of subjects) this.#open.delete(subject)
     return subjects.map(([subject]) => subject)
   }
--- a/packages/coordination/src/membershipCore.ts
+++ b/packages/coordination/src/membershipCore.ts
@@ -20,9 +20,9 @@
 } from './membershipMessages.js'
 import { DEFAULT_MEMBERSHIP_OPTIONS, type MembershipOptions } from './membershipOptions.js'
 import { chooseNeighbours, type HostPlace } from './neighbours.js'
-import { SilenceInquiries } from './silenceInquiries.js'
+import { IndirectProbes } from './indirectProbes.js'
 
-const LARGE_FLEET_INTERVALS = 2
+const LARGE_FLEET_HEARTBEAT_INTERVALS = 2
 
 export class MembershipCore {
   readonly #options: MembershipOptions
@@ -30,16 +30,16 @@
   readonly #members = new Map<EntryHostId, Member>()
   readonly #listed = new Map<EntryHostId, ListedEntryHost>()
   /** When each directly linked host was last heard. */
-  readonly #heardAt = new Map<EntryHostId, Milliseconds>()
-  readonly #goneSince = new Map<EntryHostId, Milliseconds>()
-  readonly #inquiries: SilenceInquiries
+  readonly #lastHeardAt = new Map<EntryHostId, Milliseconds>()
+  readonly #unavailableSince = new Map<EntryHostId, Milliseconds>()
+  readonly #indirectProbes: IndirectProbes
   readonly #startedAt: Milliseconds
   #self: Member
   #neighbours: readonly EntryHostId[] = []
-  #neighboursMayMove = false
-  #retried: EntryHostId | null = null
+  #neighboursOutdated = false
+  #retriedHost: EntryHostId | null = null
   #retryAt: Milliseconds
-  #tickedAt: Milliseconds
+  #lastTickAt: Milliseconds
 
   constructor(
     self: Member,
@@ -51,9 +51,9 @@
     this.#random = random
     this.#options = options
     this.#members.set(self.entryHost, self)
-    this.#inquiries = new SilenceInquiries(options.inquiryMilliseconds)
+    this.#indirectProbes = new IndirectProbes(options.indirectProbeMilliseconds)
     this.#startedAt = now
-    this.#tickedAt = now
+    this.#lastTickAt = now
     this.#retryAt = now
   }
 
@@ -62,7 +62,7 @@
    * half as many still find a frozen host within ten seconds; a killed one breaks its links at once.
    */
   get heartbeatEvery(): number {
-    return this.#isLarge() ? LARGE_FLEET_INTERVALS : 1
+    return this.#isLarge() ? LARGE_FLEET_HEARTBEAT_INTERVALS : 1
   }
 
   get self(): Member {
@@ -89,10 +89,10 @@
         member.status === 'alive' && this.#listed.get(member.entryHost)?.state !== 'leaving',
     )
     if (now - this.#startedAt >= this.#options.settlingMilliseconds) return workers
-    return [...workers, ...this.#unheard()]
+    return [...workers, ...this.#listedButUnknown()]
   }
 
-  #unheard(): readonly HostPlace[] {
+  #listedButUnknown(): readonly HostPlace[] {
     return [...this.#listed.values()]
       .filter(host => host.state === 'live' && !this.#members.has(host.id))
       .map(({ id, zone, region }) => ({ entryHost: id, zone, region }))
@@ -116,15 +116,15 @@
   }
 
   handle(message: MembershipMessage, now: Milliseconds): readonly MembershipEffect[] {
-    const retried = this.#retried
+    const retried = this.#retriedHost
     const effects = this.#dispatch(message, now)
-    if (effects.some(effect => effect.kind === 'changed') || retried !== this.#retried) {
-      this.#neighboursMayMove = true
+    if (effects.some(effect => effect.kind === 'changed') || retried !== this.#retriedHost) {
+      this.#neighboursOutdated = true
     }
     // In a large fleet changes come by the hundred, as when a host begins or a zone is cut off, and
     // each choice looks at every host: there they are worked out once a tick.
     const isDue = message.kind === 'tick' || !this.#isLarge()
-    return isDue && this.#neighboursMayMove ? [...effects, ...this.#updateNeighbours()] : effects
+    return isDue && this.#neighboursOutdated ? [...effects, ...this.#updateNeighbours()] : effects
   }
 
   #isLarge(): boolean {
@@ -135,19 +135,19 @@
   #dispatch(message: MembershipMessage, now: Milliseconds): readonly MembershipEffect[] {
     switch (message.kind) {
       case 'hostList':
-        return this.#hostList(message.hosts)
+        return this.#updateHostList(message.hosts)
       case 'heard':
-        this.#heardAt.set(message.peer, now)
-        this.#inquiries.close(message.peer)
+        this.#lastHeardAt.set(message.peer, now)
+        this.#indirectProbes.close(message.peer)
         return []
       case 'linkLost':
-        this.#heardAt.delete(message.peer)
-        return this.#inquire(message.peer, now)
+        this.#lastHeardAt.delete(message.peer)
+        return this.#startIndirectProbe(message.peer, now)
       case 'unlinked':
-        this.#heardAt.delete(message.peer)
+        this.#lastHeardAt.delete(message.peer)
         return []
       case 'news':
-        return this.#news(message.member, now)
+        return this.#receiveMember(message.member, now)
       case 'probeAnswered':
         return this.#probeAnswered(message.subject, message.reached, now)
       case 'tick':
@@ -159,7 +159,7 @@
     }
   }
 
-  #hostList(hosts: readonly ListedEntryHost[]): readonly MembershipEffect[] {
+  #updateHostList(hosts: readonly ListedEntryHost[]): readonly MembershipEffect[] {
     const effects: MembershipEffect[] = []
     const kept = new Set(hosts.map(host => host.id))
     for (const id of this.#listed.keys()) {
@@ -175,7 +175,7 @@
     return effects
   }
 
-  #news(member: Member, now: Milliseconds): readonly MembershipEffect[] {
+  #receiveMember(member: Member, now: Milliseconds): readonly MembershipEffect[] {
     if (member.entryHost === this.#self.entryHost) return this.#refute(member)
     const known = this.#members.get(member.entryHost)
     if (known !== undefined && compareVersions(versionOf(member), versionOf(known)) <= 0) {
@@ -189,11 +189,11 @@
    * as work that the fleet takes away from a host that is well. A greater incarnation outranks every
    * word about earlier ones, whatever order the two arrive in.
    */
-  #refute(word: Member): readonly MembershipEffect[] {
+  #refute(reported: Member): readonly MembershipEffect[] {
     const own = this.#self
-    const isOwnWord = word.status === own.status && word.incarnation === own.incarnation
-    if (word.incarnation < own.incarnation || isOwnWord || own.status === 'left') return []
-    this.#self = { ...own, incarnation: nextIncarnation(word.incarnation) }
+    const isOwnState = reported.status === own.status && reported.incarnation === own.incarnation
+    if (reported.incarnation < own.incarnation || isOwnState || own.status === 'left') return []
+    this.#self = { ...own, incarnation: nextIncarnation(reported.incarnation) }
     this.#members.set(own.entryHost, this.#self)
     return [{ kind: 'spread', member: this.#self }]
   }
@@ -203,39 +203,42 @@
     const former = this.#members.get(id)
     this.#members.set(id, member)
     if (member.status === 'alive') {
-      this.#goneSince.delete(id)
+      this.#unavailableSince.delete(id)
       if (former === undefined) return [changed('joined', id)]
       return former.status === 'alive' ? [] : [changed('returned', id)]
     }
-    this.#inquiries.close(id)
-    if (!this.#goneSince.has(id)) this.#goneSince.set(id, now)
+    this.#indirectProbes.close(id)
+    if (!this.#unavailableSince.has(id)) this.#unavailableSince.set(id, now)
     return former?.status === member.status ? [] : [changed(member.status, id)]
   }
 
   /** The end of the settling time changes who works. */
-  #settled(now: Milliseconds, former: Milliseconds): readonly MembershipEffect[] {
+  #settlingChange(now: Milliseconds, former: Milliseconds): readonly MembershipEffect[] {
     const end = this.#startedAt + this.#options.settlingMilliseconds
     return former < end && now >= end ? [changed('settled', this.#self.entryHost)] : []
   }
 
   #tick(now: Milliseconds): readonly MembershipEffect[] {
-    const { heartbeatIntervalMilliseconds, pauseHeartbeats, retryIntervalMilliseconds } =
-      this.#options
-    const former = this.#tickedAt
+    const {
+      heartbeatIntervalMilliseconds,
+      stallHeartbeats: pauseHeartbeats,
+      retryIntervalMilliseconds,
+    } = this.#options
+    const former = this.#lastTickAt
     const gap = now - former
-    this.#tickedAt = now
-    if (gap > pauseHeartbeats * heartbeatIntervalMilliseconds) this.#excuseSilence(now)
+    this.#lastTickAt = now
+    if (gap > pauseHeartbeats * heartbeatIntervalMilliseconds) this.#resetSilenceTimers(now)
     if (now >= this.#retryAt) {
-      this.#retried = this.#pickGone()
+      this.#retriedHost = this.#pickHostToRetry()
       this.#retryAt = (now + retryIntervalMilliseconds) as Milliseconds
     }
-    const effects = this.#silentPeers(now).flatMap(peer => this.#inquire(peer, now))
-    const unreached = this.#inquiries.expired(now)
+    const effects = this.#silentPeers(now).flatMap(peer => this.#startIndirectProbe(peer, now))
+    const unreachable = this.#indirectProbes.expired(now)
     return [
-      ...this.#settled(now, former),
+      ...this.#settlingChange(now, former),
       ...effects,
-      ...unreached.flatMap(peer => this.#declareFailed(peer, now)),
-      ...this.#forgetGone(now),
+      ...unreachable.flatMap(peer => this.#declareFailed(peer, now)),
+      ...this.#forgetUnavailable(now),
     ]
   }
 
@@ -243,22 +246,22 @@
    * This process was frozen: nobody could be heard meanwhile. Counting that time as the others'
    * silence would make a thawed host call the whole fleet failed.
    */
-  #excuseSilence(now: Milliseconds): void {
-    for (const peer of this.#heardAt.keys()) this.#heardAt.set(peer, now)
-    this.#inquiries.clear()
+  #resetSilenceTimers(now: Milliseconds): void {
+    for (const peer of this.#lastHeardAt.keys()) this.#lastHeardAt.set(peer, now)
+    this.#indirectProbes.clear()
   }
 
   #silentPeers(now: Milliseconds): readonly EntryHostId[] {
     const { heartbeatIntervalMilliseconds, silentHeartbeats } = this.#options
     const interval = heartbeatIntervalMilliseconds * this.heartbeatEvery
-    const patience = interval * silentHeartbeats
-    return [...this.#heardAt].filter(([, at]) => now - at > patience).map(([peer]) => peer)
+    const timeout = interval * silentHeartbeats
+    return [...this.#lastHeardAt].filter(([, at]) => now - at > timeout).map(([peer]) => peer)
   }
 
-  #inquire(subject: EntryHostId, now: Milliseconds): readonly MembershipEffect[] {
-    if (!this.isAlive(subject) || this.#inquiries.isOpen(subject)) return []
+  #startIndirectProbe(subject: EntryHostId, now: Milliseconds): readonly MembershipEffect[] {
+    if (!this.isAlive(subject) || this.#indirectProbes.isOpen(subject)) return []
     const helpers = this.#pickHelpers(subject, now)
-    this.#inquiries.open(subject, helpers.length, now)
+    this.#indirectProbes.open(subject, helpers.length, now)
     return helpers.map(helper => ({ kind: 'probe', helper, subject }))
   }
 
@@ -269,14 +272,14 @@
    */
   #pickHelpers(subject: EntryHostId, now: Milliseconds): readonly EntryHostId[] {
     const silent = new Set(this.#silentPeers(now))
-    const usable = [...this.#heardAt.keys()].filter(
+    const usable = [...this.#lastHeardAt.keys()].filter(
       peer => peer !== subject && !silent.has(peer) && this.isAlive(peer),
     )
     const shuffled = this.#shuffle(usable)
-    const firsts = [0, 1, 2].flatMap(
+    const firstOfEachDistance = [0, 1, 2].flatMap(
       distance => shuffled.find(peer => this.#distanceTo(peer) === distance) ?? [],
     )
-    const order = new Set([...firsts, ...shuffled])
+    const order = new Set([...firstOfEachDistance, ...shuffled])
     return [...order].slice(0, this.#options.helpers)
   }
 
@@ -292,14 +295,14 @@
     reached: boolean,
     now: Milliseconds,
   ): readonly MembershipEffect[] {
-    if (!this.#inquiries.isOpen(subject)) return []
+    if (!this.#indirectProbes.isOpen(subject)) return []
     if (reached) {
-      this.#inquiries.close(subject)
+      this.#indirectProbes.close(subject)
       // Alive, though not heard from here: it is looked for again after another silence.
-      if (this.#heardAt.has(subject)) this.#heardAt.set(subject, now)
+      if (this.#lastHeardAt.has(subject)) this.#lastHeardAt.set(subject, now)
       return []
     }
-    if (!this.#inquiries.deny(subject)) return []
+    if (!this.#indirectProbes.recordFailure(subject)) return []
     return this.#declareFailed(subject, now)
   }
 
@@ -310,11 +313,11 @@
     return [...this.#accept(failed, now), { kind: 'spread', member: failed }]
   }
 
-  #forgetGone(now: Milliseconds): readonly MembershipEffect[] {
+  #forgetUnavailable(now: Milliseconds): readonly MembershipEffect[] {
     const effects: MembershipEffect[] = []
-    for (const [host, since] of this.#goneSince) {
+    for (const [host, since] of this.#unavailableSince) {
       if (now - since < this.#options.forgetMilliseconds || this.#listed.has(host)) continue
-      this.#goneSince.delete(host)
+      this.#unavailableSince.delete(host)
       this.#members.delete(host)
       effects.push({ kind: 'forget', host })
     }
@@ -327,18 +330,18 @@
     return [{ kind: 'spread', member: this.#self }]
   }
 
-  #pickGone(): EntryHostId | null {
-    const gone = [...this.#listed.keys()].filter(
+  #pickHostToRetry(): EntryHostId | null {
+    const unavailable = [...this.#listed.keys()].filter(
       id => id !== this.#self.entryHost && !this.isAlive(id),
     )
-    return this.#shuffle(gone)[0] ?? null
+    return this.#shuffle(unavailable)[0] ?? null
   }
 
   #updateNeighbours(): readonly MembershipEffect[] {
-    this.#neighboursMayMove = false
+    this.#neighboursOutdated = false
     const candidates = this.#neighbourCandidates()
     const chosen = new Set(chooseNeighbours(this.#self, candidates, this.#options.neighbours))
-    if (this.#retried !== null) chosen.add(this.#retried)
+    if (this.#retriedHost !== null) chosen.add(this.#retriedHost)
     const hosts = [...chosen].sort()
     if (isSameList(hosts, this.#neighbours)) return []
     this.#neighbours = hosts
@@ -355,11 +358,11 @@
       if (member.status === 'alive') known.set(member.entryHost, member)
     }
     known.delete(this.#self.entryHost)
-    const everyone = [...known.values()]
-    if (everyone.length <= this.#options.neighbours.fullMeshHosts) return everyone
-    const alive = everyone.filter(host => this.isAlive(host.entryHost))
+    const allHosts = [...known.values()]
+    if (allHosts.length <= this.#options.neighbours.fullMeshHosts) return allHosts
+    const alive = allHosts.filter(host => this.isAlive(host.entryHost))
     // A host that has just begun knows nobody yet: the list is where it starts.
-    return alive.length > 0 ? alive : everyone
+    return alive.length > 0 ? alive : allHosts
   }
 
   #shuffle<Value>(values: readonly Value[]): readonly Value[] {
--- a/packages/coordination/src/membershipOptions.ts
+++ b/packages/coordination/src/membershipOptions.ts
@@ -6,10 +6,10 @@
   /** Heartbeats that may go missing before helpers are asked. */
   readonly silentHeartbeats: number
   /** How long helpers have, and the host itself to be heard again. */
-  readonly inquiryMilliseconds: number
+  readonly indirectProbeMilliseconds: number
   readonly helpers: number
   /** A gap between ticks of more heartbeats than this means that this process itself stood still. */
-  readonly pauseHeartbeats: number
+  readonly stallHeartbeats: number
   /** How long a host that has just begun takes listed hosts to be alive before it heard of them. */
   readonly settlingMilliseconds: number
   /** One host that is thought to be gone is tried this often, so that a healed cut is noticed. */
@@ -22,9 +22,9 @@
 export const DEFAULT_MEMBERSHIP_OPTIONS: MembershipOptions = {
   heartbeatIntervalMilliseconds: 1000,
   silentHeartbeats: 3,
-  inquiryMilliseconds: 1500,
+  indirectProbeMilliseconds: 1500,
   helpers: 3,
-  pauseHeartbeats: 2,
+  stallHeartbeats: 2,
   settlingMilliseconds: 5000,
   retryIntervalMilliseconds: 5000,
   forgetMilliseconds: 3_600_000,
--- a/packages/coordination/src/stableHash.ts
+++ b/packages/coordination/src/stableHash.ts
@@ -5,16 +5,16 @@
 export const stableHash = (text: string): number => xxHash32(text)
 
 /** Names of hosts and services are few, and each is hashed again in every draw. */
-const MOST_NAMES = 8192
-const names = new Map<string, number>()
+const NAME_CACHE_LIMIT = 8192
+const hashByName = new Map<string, number>()
 
 /** `stableHash` of the name of a host or a service, which is kept. */
 export function nameHash(name: string): number {
-  const known = names.get(name)
+  const known = hashByName.get(name)
   if (known !== undefined) return known
-  if (names.size >= MOST_NAMES) names.clear()
+  if (hashByName.size >= NAME_CACHE_LIMIT) hashByName.clear()
   const hash = stableHash(name)
-  names.set(name, hash)
+  hashByName.set(name, hash)
   return hash
 }
 
--- a/packages/coordination/src/synchronous/limitHolders.ts
+++ b/packages/coordination/src/synchronous/limitHolders.ts
@@ -25,9 +25,9 @@
   place: Pick<HostRecord, 'zone' | 'region'>,
 ): readonly string[] {
   const distance = (host: string): number => hostDistance(hosts.get(host), place)
-  const own = nameHash(self)
-  const draw = (host: string): number => mixHashes(nameHash(host), own)
+  const selfHash = nameHash(self)
+  const score = (host: string): number => mixHashes(nameHash(host), selfHash)
   return [...holders].sort(
-    (left, right) => distance(left) - distance(right) || draw(left) - draw(right),
+    (left, right) => distance(left) - distance(right) || score(left) - score(right),
   )
 }
--- a/packages/coordination/src/synchronous/primaryChange.ts
+++ b/packages/coordination/src/synchronous/primaryChange.ts
@@ -66,7 +66,7 @@
   | { readonly kind: 'notCaughtUp'; readonly server: BackendServerId }
 
 /** How often a candidate that is behind is asked again before the next way is taken. */
-const CATCH_UP_QUESTIONS = 10
+const CATCH_UP_ATTEMPTS = 10
 
 interface Replica extends GroupMember {
   readonly report: ServerReport
@@ -84,27 +84,27 @@
   /** Finds the server to promote, and keeps it safe to promote. */
   async choose(): Promise<Result<ChosenPrimary, ChoiceFailure>> {
     const { replicas, oldPrimary } = this.#plan
-    const asked = await Promise.all(replicas.map(member => this.#ask(member)))
+    const asked = await Promise.all(replicas.map(member => this.#requestReport(member)))
     const known = asked.filter(replica => replica !== null)
     const [candidate] = rank(known)
     if (candidate === undefined) return err({ kind: 'noReplica' })
-    const next = term(Math.max(...known.map(newestTerm)) + 1)
+    const nextTerm = term(Math.max(...known.map(newestTerm)) + 1)
     const others = replicas.filter(member => member.server !== candidate.server)
-    const paused = await Promise.all(others.map(member => this.#pause(member, next)))
-    const missing = others.find((_, index) => paused[index] === null)
-    if (missing !== undefined) return this.#chooseByOldPrimary(candidate, missing, next)
+    const paused = await Promise.all(others.map(member => this.#pause(member, nextTerm)))
+    const unreachable = others.find((_, index) => paused[index] === null)
+    if (unreachable !== undefined) return this.#chooseByOldPrimary(candidate, unreachable, nextTerm)
     const answered = paused.filter(replica => replica !== null)
     const chosen = await this.#awaitCandidate(candidate, answered, oldPrimary !== null)
-    return chosen === null ? this.#chooseFurthest(candidate, answered, next) : ok(chosen)
+    return chosen === null ? this.#chooseFurthest(candidate, answered, nextTerm) : ok(chosen)
   }
 
-  async #ask(member: GroupMember): Promise<Replica | null> {
+  async #requestReport(member: GroupMember): Promise<Replica | null> {
     const report = await this.#orders.report(member.server)
     return report === null ? null : { ...member, report }
   }
 
-  async #pause(member: GroupMember, next: Term): Promise<Replica | null> {
-    const report = await this.#orders.pause(member.server, next)
+  async #pause(member: GroupMember, nextTerm: Term): Promise<Replica | null> {
+    const report = await this.#orders.pause(member.server, nextTerm)
     return report === null || report.pausedFor === 0 ? null : { ...member, report }
   }
 
@@ -114,14 +114,14 @@
     paused: readonly Replica[],
     mayCatchUp: boolean,
   ): Promise<ChosenPrimary | null> {
-    const questions = mayCatchUp ? CATCH_UP_QUESTIONS : 1
-    for (let asked = 0; asked < questions; asked += 1) {
+    const attempts = mayCatchUp ? CATCH_UP_ATTEMPTS : 1
+    for (let asked = 0; asked < attempts; asked += 1) {
       if (asked > 0) await this.#orders.rest()
       const report = await this.#orders.report(candidate.server)
       if (report?.pausedFor !== 0) return null
       const holdsAll = paused.every(other => isAtOrPast(report.received, other.report.received))
       if (holdsAll) {
-        return chosenOf({ ...candidate, report }, paused, 'candidateHoldsAll')
+        return chosenPrimary({ ...candidate, report }, paused, 'candidateHoldsAll')
       }
     }
     return null
@@ -130,30 +130,30 @@
   async #chooseFurthest(
     candidate: Replica,
     paused: readonly Replica[],
-    next: Term,
+    nextTerm: Term,
   ): Promise<Result<ChosenPrimary, ChoiceFailure>> {
-    const last = await this.#pause(candidate, next)
+    const last = await this.#pause(candidate, nextTerm)
     if (last === null) return err({ kind: 'unknownReplica', server: candidate.server })
     const all = [last, ...paused]
     const [furthest] = [...all].sort(byPosition)
     if (furthest === undefined) return err({ kind: 'noReplica' })
-    return ok(chosenOf(furthest, all, 'furthestOfAll'))
+    return ok(chosenPrimary(furthest, all, 'furthestOfAll'))
   }
 
   async #chooseByOldPrimary(
     candidate: Replica,
-    missing: GroupMember,
-    next: Term,
+    unreachable: GroupMember,
+    nextTerm: Term,
   ): Promise<Result<ChosenPrimary, ChoiceFailure>> {
     const { oldPrimary } = this.#plan
-    const failure: ChoiceFailure = { kind: 'unknownReplica', server: missing.server }
+    const failure: ChoiceFailure = { kind: 'unknownReplica', server: unreachable.server }
     if (oldPrimary === null) return err(failure)
-    const last = await this.#orders.stepDown(oldPrimary, next)
+    const last = await this.#orders.stepDown(oldPrimary, nextTerm)
     if (last?.role !== 'replica') return err(failure)
-    for (let asked = 0; asked < CATCH_UP_QUESTIONS; asked += 1) {
+    for (let asked = 0; asked < CATCH_UP_ATTEMPTS; asked += 1) {
       const report = await this.#orders.report(candidate.server)
       if (report !== null && isAtOrPast(report.received, last.received)) {
-        return ok(chosenOf({ ...candidate, report }, [], 'oldPrimarySteppedDown'))
+        return ok(chosenPrimary({ ...candidate, report }, [], 'oldPrimarySteppedDown'))
       }
       await this.#orders.rest()
     }
@@ -171,7 +171,7 @@
  * Replicas whose logs differ by no more than this many records count as equally far: that much is
  * on its way to any of them at a given moment. One that receives nothing is soon further behind.
  */
-const CLOSE_RECORDS = 20
+const SIMILAR_POSITION_RECORDS = 20
 
 /** Servers that stay and can still receive first, then those not far behind, then the better place. */
 function rank(replicas: readonly Replica[]): Replica[] {
@@ -179,17 +179,17 @@
     (left, right) =>
       Number(left.isLeaving) - Number(right.isLeaving) ||
       Number(left.report.pausedFor !== 0) - Number(right.report.pausedFor !== 0) ||
-      byReach(left, right) ||
+      byReceivedPosition(left, right) ||
       left.distance - right.distance ||
       byPosition(left, right),
   )
 }
 
-function byReach(left: Replica, right: Replica): number {
+function byReceivedPosition(left: Replica, right: Replica): number {
   const [one, other] = [left.report.received, right.report.received]
   if (one.term !== other.term) return other.term - one.term
   const difference = other.offset - one.offset
-  return Math.abs(difference) <= CLOSE_RECORDS ? 0 : difference
+  return Math.abs(difference) <= SIMILAR_POSITION_RECORDS ? 0 : difference
 }
 
 const byPosition = (left: Replica, right: Replica): number =>
@@ -197,7 +197,7 @@
   Number(left.isLeaving) - Number(right.isLeaving) ||
   left.distance - right.distance
 
-const chosenOf = (
+const chosenPrimary = (
   chosen: Replica,
   all: readonly Replica[],
   how: ChosenPrimary['how'],
--- a/packages/coordination/src/synchronous/primarySuspicion.ts
+++ b/packages/coordination/src/synchronous/primarySuspicion.ts
@@ -20,23 +20,23 @@
 
 /** With this part, and at least so many, they act once the others have had time to deny. */
 const QUORUM_SHARE = 0.25
-const LEAST_QUORUM = 2
+const MINIMUM_QUORUM = 2
 
 /** A vote's way to the others and a denial's way back: two changes in the store and their news. */
-const DENIAL_MILLISECONDS = 200
+const DENIAL_WINDOW_MILLISECONDS = 200
 
 /**
  * A host that nobody joins acts by itself after this long. The others reach the primary, or can not
  * say that they do not: they are down, or the store turns them away. Moving it away from hosts that
  * reach it may cut them off from the new one, so only a host that finds no way through them acts.
  */
-const ALONE_AFTER_MILLISECONDS = 2500
+const SINGLE_HOST_DELAY_MILLISECONDS = 2500
 
 /** Between two writes of a database that is in use; replicas may apply them that much later too. */
-const GREW_LATELY_MILLISECONDS = 1000
+const LOG_GROWTH_WINDOW_MILLISECONDS = 1000
 
 /** So long after another host reached the primary for this one, it is taken to be well. */
-const REACHED_LATELY_MILLISECONDS = 1500
+const REACHED_WINDOW_MILLISECONDS = 1500
 
 /** A vote counts so long after it was heard of, and is cast again in half of that time. */
 export const VOTE_LIFETIME_MILLISECONDS = 4000
@@ -44,7 +44,7 @@
 /** Hosts act one after the other by rank, so that the first is mostly done before the second begins. */
 export const RANK_PAUSE_MILLISECONDS = 120
 
-export interface PrimarySigns {
+export interface PrimaryObservations {
   readonly primary: BackendServerId
   /** How long questions to it have stayed unanswered; 0 when none has. */
   readonly silentMilliseconds: number
@@ -66,7 +66,7 @@
 
 export class PrimarySuspicion {
   #suspect: BackendServerId | null = null
-  #since = 0
+  #suspectedSince = 0
   readonly #votes = new Map<string, Vote>()
 
   /** Another host finds the server silent. */
@@ -89,27 +89,32 @@
   }
 
   /** `rank` is this host's place among the hosts for this service; `hosts` counts them all. */
-  advise(signs: PrimarySigns, hosts: number, rank: number, now: Milliseconds): SuspicionAdvice {
-    if (!isSuspicious(signs)) {
+  advise(
+    observations: PrimaryObservations,
+    hosts: number,
+    rank: number,
+    now: Milliseconds,
+  ): SuspicionAdvice {
+    if (!isSuspicious(observations)) {
       this.#suspect = null
       return 'trust'
     }
-    if (this.#suspect !== signs.primary) {
-      this.#suspect = signs.primary
-      this.#since = now
+    if (this.#suspect !== observations.primary) {
+      this.#suspect = observations.primary
+      this.#suspectedSince = now
     }
-    const suspectedFor = now - this.#since
-    const suspects = 1 + this.#count(signs.primary, false, now)
-    if (suspects >= hosts * MAJORITY_SHARE) return suspectedFor >= turn(rank) ? 'act' : 'vote'
+    const suspectedFor = now - this.#suspectedSince
+    const suspects = 1 + this.#count(observations.primary, false, now)
+    if (suspects >= hosts * MAJORITY_SHARE) return suspectedFor >= rankDelay(rank) ? 'act' : 'vote'
     // It serves hosts that may be unable to say so, as when they are cut off from the store.
-    if (signs.logGrewAgo < GREW_LATELY_MILLISECONDS) return 'vote'
+    if (observations.logGrewAgo < LOG_GROWTH_WINDOW_MILLISECONDS) return 'vote'
     // Moving it would take it away from more hosts than it would come back to.
-    if (this.#count(signs.primary, true, now) >= suspects) return 'vote'
+    if (this.#count(observations.primary, true, now) >= suspects) return 'vote'
     if (suspects >= quorum(hosts)) {
-      return suspectedFor >= DENIAL_MILLISECONDS + turn(rank) ? 'act' : 'vote'
+      return suspectedFor >= DENIAL_WINDOW_MILLISECONDS + rankDelay(rank) ? 'act' : 'vote'
     }
-    if (signs.reachedThroughOthersAgo < REACHED_LATELY_MILLISECONDS) return 'vote'
-    return suspectedFor >= ALONE_AFTER_MILLISECONDS ? 'act' : 'vote'
+    if (observations.reachedThroughOthersAgo < REACHED_WINDOW_MILLISECONDS) return 'vote'
+    return suspectedFor >= SINGLE_HOST_DELAY_MILLISECONDS ? 'act' : 'vote'
   }
 
   #count(primary: BackendServerId, reaches: boolean, now: Milliseconds): number {
@@ -122,10 +127,11 @@
   }
 }
 
-const isSuspicious = (signs: PrimarySigns): boolean =>
-  signs.silentMilliseconds >= SUSPECT_AFTER_MILLISECONDS || signs.refusals >= REFUSALS_TO_SUSPECT
+const isSuspicious = (observations: PrimaryObservations): boolean =>
+  observations.silentMilliseconds >= SUSPECT_AFTER_MILLISECONDS ||
+  observations.refusals >= REFUSALS_TO_SUSPECT
 
-const turn = (rank: number): number => rank * RANK_PAUSE_MILLISECONDS
+const rankDelay = (rank: number): number => rank * RANK_PAUSE_MILLISECONDS
 
 const quorum = (hosts: number): number =>
-  Math.min(Math.max(LEAST_QUORUM, Math.ceil(hosts * QUORUM_SHARE)), Math.max(hosts, 1))
+  Math.min(Math.max(MINIMUM_QUORUM, Math.ceil(hosts * QUORUM_SHARE)), Math.max(hosts, 1))
--- a/packages/coordination/src/synchronous/serviceOwners.ts
+++ b/packages/coordination/src/synchronous/serviceOwners.ts
@@ -20,7 +20,7 @@
  * A host with twice the processor is drawn twice as often: owners work for others, and the weakest
  * hosts have less than a quarter of the strongest ones' processor.
  */
-function drawOf(host: string, service: string, weight: number): number {
+function rendezvousScore(host: string, service: string, weight: number): number {
   const hash = mixHashes(nameHash(host), nameHash(service))
   return -weight / Math.log((hash + 1) / (HASH_RANGE + 1))
 }
@@ -34,7 +34,7 @@
   const ranked = rankHosts(service, hosts)
   const zones = groupByZone(ranked, hosts)
   const order = [...zones.keys()].sort(
-    (left, right) => drawOf(right, service, 1) - drawOf(left, service, 1),
+    (left, right) => rendezvousScore(right, service, 1) - rendezvousScore(left, service, 1),
   )
   const owners: string[] = []
   for (let round = 0; owners.length < Math.min(count, hosts.size); round += 1) {
@@ -63,11 +63,11 @@
 export function ownersFrom(plan: OwnerPlan, self: string, place: HostRecord): string[] {
   const { owners, ranked, hosts } = plan
   const distance = (host: string): number => hostDistance(hosts.get(host), place)
-  const near = [...owners].sort((left, right) => distance(left) - distance(right))
+  const ownersByDistance = [...owners].sort((left, right) => distance(left) - distance(right))
   const substitutes = ranked.filter(host => !owners.includes(host) && distance(host) === 0)
-  const own = substitutes.indexOf(self)
-  const before = own < 0 ? substitutes : substitutes.slice(0, own)
-  return [...near.filter(host => host !== self), ...before]
+  const selfIndex = substitutes.indexOf(self)
+  const substitutesBefore = selfIndex < 0 ? substitutes : substitutes.slice(0, selfIndex)
+  return [...ownersByDistance.filter(host => host !== self), ...substitutesBefore]
 }
 
 /**
@@ -81,10 +81,14 @@
   customer: string,
   place: Pick<HostRecord, 'region'>,
 ): string[] {
-  const isFar = (host: string): number => (hosts.get(host)?.region === place.region ? 0 : 1)
+  const regionDistance = (host: string): number =>
+    hosts.get(host)?.region === place.region ? 0 : 1
   const subject = `${service} ${customer}`
-  const draw = (host: string): number => drawOf(host, subject, hosts.get(host)?.weight ?? 1)
-  return [...owners].sort((left, right) => isFar(left) - isFar(right) || draw(right) - draw(left))
+  const score = (host: string): number =>
+    rendezvousScore(host, subject, hosts.get(host)?.weight ?? 1)
+  return [...owners].sort(
+    (left, right) => regionDistance(left) - regionDistance(right) || score(right) - score(left),
+  )
 }
 
 function groupByZone(
@@ -102,7 +106,7 @@
 }
 
 function rankHosts(service: string, hosts: ReadonlyMap<string, HostRecord>): string[] {
-  const draws = new Map<string, number>()
-  for (const [host, { weight }] of hosts) draws.set(host, drawOf(host, service, weight))
-  return [...hosts.keys()].sort((left, right) => (draws.get(right) ?? 0) - (draws.get(left) ?? 0))
+  const scores = new Map<string, number>()
+  for (const [host, { weight }] of hosts) scores.set(host, rendezvousScore(host, service, weight))
+  return [...hosts.keys()].sort((left, right) => (scores.get(right) ?? 0) - (scores.get(left) ?? 0))
 }
--- a/packages/coordination/src/watchers.ts
+++ b/packages/coordination/src/watchers.ts
@@ -9,7 +9,7 @@
 
 export const DEFAULT_WATCHER_COUNT = 3
 
-export interface ServerPlace {
+export interface ServerLocation {
   readonly zone: AvailabilityZoneId
   readonly region: RegionId
 }
@@ -18,7 +18,7 @@
   readonly hash: number
 }
 
-interface Scored {
+interface ScoredCandidate {
   readonly host: Candidate
   readonly score: number
 }
@@ -42,7 +42,7 @@
    * Other zones of the same regions come next, then the rest; only then a second of a zone.
    * Ordered by who tries first to coordinate.
    */
-  watchersOf(database: DatabaseId, servers: readonly ServerPlace[]): readonly Watcher[] {
+  watchersOf(database: DatabaseId, servers: readonly ServerLocation[]): readonly Watcher[] {
     const databaseHash = stableHash(database)
     const chosen = this.#bestOfZones(databaseHash, distinctZones(servers))
     if (chosen.length < this.#watcherCount) this.#fill(databaseHash, servers, chosen)
@@ -52,8 +52,8 @@
       .map(({ host }) => ({ entryHost: host.entryHost, zone: host.zone, region: host.region }))
   }
 
-  #bestOfZones(databaseHash: number, zones: Iterable<AvailabilityZoneId>): Scored[] {
-    const chosen: Scored[] = []
+  #bestOfZones(databaseHash: number, zones: Iterable<AvailabilityZoneId>): ScoredCandidate[] {
+    const chosen: ScoredCandidate[] = []
     for (const zone of zones) {
       const best = bestOf(this.#byZone.get(zone) ?? [], databaseHash)
       if (best !== null) chosen.push(best)
@@ -62,38 +62,42 @@
   }
 
   /** Adds the best of further zones, one by one; zones of the servers' regions go first. */
-  #fill(databaseHash: number, servers: readonly ServerPlace[], chosen: Scored[]): void {
+  #fill(databaseHash: number, servers: readonly ServerLocation[], chosen: ScoredCandidate[]): void {
     const regions = new Set(servers.map(server => server.region))
     const used = new Set(chosen.map(({ host }) => host.zone))
     const others = this.#bestOfZones(
       databaseHash,
       [...this.#byZone.keys()].filter(zone => !used.has(zone)),
     ).sort(byScore)
-    const near = others.filter(({ host }) => regions.has(host.region))
-    const far = others.filter(({ host }) => !regions.has(host.region))
+    const inServerRegions = others.filter(({ host }) => regions.has(host.region))
+    const elsewhere = others.filter(({ host }) => !regions.has(host.region))
     const missing = this.#watcherCount - chosen.length
-    chosen.push(...[...near, ...far].slice(0, missing))
+    chosen.push(...[...inServerRegions, ...elsewhere].slice(0, missing))
     if (chosen.length < this.#watcherCount) this.#fillFromUsedZones(databaseHash, regions, chosen)
   }
 
   /** Too few zones are left: second hosts of zones, those of the servers' regions first. */
-  #fillFromUsedZones(databaseHash: number, regions: ReadonlySet<RegionId>, chosen: Scored[]): void {
+  #fillFromUsedZones(
+    databaseHash: number,
+    regions: ReadonlySet<RegionId>,
+    chosen: ScoredCandidate[],
+  ): void {
     const taken = new Set(chosen.map(({ host }) => host.entryHost))
     const rest = [...this.#byZone.values()]
       .flat()
       .filter(host => !taken.has(host.entryHost))
       .map(host => ({ host, score: mixHashes(host.hash, databaseHash) }))
       .sort(byScore)
-    const near = rest.filter(({ host }) => regions.has(host.region))
-    const far = rest.filter(({ host }) => !regions.has(host.region))
-    chosen.push(...[...near, ...far].slice(0, this.#watcherCount - chosen.length))
+    const inServerRegions = rest.filter(({ host }) => regions.has(host.region))
+    const elsewhere = rest.filter(({ host }) => !regions.has(host.region))
+    chosen.push(...[...inServerRegions, ...elsewhere].slice(0, this.#watcherCount - chosen.length))
   }
 }
 
-const byScore = (left: Scored, right: Scored): number => right.score - left.score
+const byScore = (left: ScoredCandidate, right: ScoredCandidate): number => right.score - left.score
 
-function bestOf(candidates: readonly Candidate[], databaseHash: number): Scored | null {
-  let best: Scored | null = null
+function bestOf(candidates: readonly Candidate[], databaseHash: number): ScoredCandidate | null {
+  let best: ScoredCandidate | null = null
   for (const host of candidates) {
     const score = mixHashes(host.hash, databaseHash)
     if (best === null || score > best.score) best = { host, score }
@@ -101,6 +105,6 @@
   return best
 }
 
-function distinctZones(servers: readonly ServerPlace[]): ReadonlySet<AvailabilityZoneId> {
+function distinctZones(servers: readonly ServerLocation[]): ReadonlySet<AvailabilityZoneId> {
   return new Set(servers.map(server => server.zone))
 }
