--- a/packages/coordination/__tests__/configuration.spec.ts
+++ b/packages/coordination/__tests__/configuration.spec.ts
@@ -26,13 +26,13 @@
   targets: { service: 'salon-db', classes: [gallery(changes)], defaults: [] },
 })
 
-/** One key of a store that keeps its revision, and can be set back to an older copy. */
+/** One key of a store with its revision; tests can restore an older copy of it. */
 class FakeStore {
   document: VersionedTargets | null = null
   revision = 0
 
-  /** A compare-and-swap; false when it lost. */
-  swap(document: VersionedTargets, expectedRevision: number): boolean {
+  /** Returns false if the revision has changed. */
+  compareAndSwap(document: VersionedTargets, expectedRevision: number): boolean {
     if (expectedRevision !== this.revision) return false
     this.document = document
     this.revision += 1
@@ -40,27 +40,27 @@
   }
 }
 
-class HostFixture {
+class TestHost {
   readonly core = new ConfigurationCore()
   readonly #clock: VirtualClock
-  readonly #peers: HostFixture[] = []
+  readonly #peers: TestHost[] = []
 
   constructor(clock: VirtualClock) {
     this.#clock = clock
   }
 
-  linkWith(other: HostFixture): void {
+  linkWith(other: TestHost): void {
     this.#peers.push(other)
     other.#peers.push(this)
   }
 
-  /** Reads the store, carries out what follows, and says whether the store was changed by it. */
+  /** Reads the store and applies the resulting effects, which may write to the store. */
   readStore(store: FakeStore): void {
     const { document, revision } = store
     this.handle({ kind: 'storeAnswered', document, revision, askedAt: this.#clock.now() }, store)
   }
 
-  requestConfirmation(peer: HostFixture): void {
+  requestConfirmation(peer: TestHost): void {
     const age = peer.core.confirmationAge(this.#clock.now())
     const { newest } = peer.core
     if (newest === null || age === null) return
@@ -76,7 +76,7 @@
         for (const peer of this.#peers) peer.handle({ kind: 'learned', document: effect.document })
       }
       if (effect.kind === 'repairStore') {
-        store?.swap(effect.document, effect.expectedRevision)
+        store?.compareAndSwap(effect.document, effect.expectedRevision)
         this.handle({ kind: 'repairEnded' })
       }
     }
@@ -99,54 +99,52 @@
   }
 }
 
-function start(): {
-  clock: VirtualClock
-  store: FakeStore
-  first: HostFixture
-  second: HostFixture
-} {
+function start(): { clock: VirtualClock; store: FakeStore; first: TestHost; second: TestHost } {
   const clock = new VirtualClock(100_000)
   const store = new FakeStore()
-  const first = new HostFixture(clock)
-  const second = new HostFixture(clock)
+  const first = new TestHost(clock)
+  const second = new TestHost(clock)
   first.linkWith(second)
   return { clock, store, first, second }
 }
 
 describe('configuration', () => {
-  // Two operators change the same targets from the same version. One swap wins; the other's
-  // operator gets a conflict. No host ever runs the loser's.
-  it('follows the winner of two operators', () => {
+  // Two operators change the same targets based on the same version. One compare-and-swap succeeds, the
+  // other operator gets a conflict, and no host applies the rejected change.
+  it('applies the accepted one of two concurrent changes', () => {
     const { store, first, second } = start()
-    store.swap(documentOf(1, 'base'), 0)
+    store.compareAndSwap(documentOf(1, 'base'), 0)
     first.readStore(store)
-    const outcomes = [store.swap(documentOf(2, 'ours'), 1), store.swap(documentOf(2, 'theirs'), 1)]
+    const outcomes = [
+      store.compareAndSwap(documentOf(2, 'ours'), 1),
+      store.compareAndSwap(documentOf(2, 'theirs'), 1),
+    ]
     first.readStore(store)
     second.readStore(store)
     expect(outcomes).toEqual([true, false])
     expect([first.change, second.change]).toEqual(['ours', 'ours'])
   })
 
-  // The change took effect, its answer was lost, and the operator sent it again on top of what then
-  // stood there. Readers see one change, by its id.
-  it('sees a change whose answer was lost as accepted', () => {
+  // The change took effect, but its answer was lost, and the operator repeated it on top of the stored
+  // version. Readers see a single change, identified by its id.
+  it('treats a change whose answer was lost as accepted', () => {
     const { store, first } = start()
-    store.swap(documentOf(1, 'base'), 0)
-    store.swap(documentOf(2, 'mine'), 1)
+    store.compareAndSwap(documentOf(1, 'base'), 0)
+    store.compareAndSwap(documentOf(2, 'mine'), 1)
     first.readStore(store)
     expect(store.document?.changeId).toEqual('mine')
     expect(first.change).toEqual('mine')
   })
 
-  // The store is out for long. Hosts keep what they have and say that they cannot confirm it; a
-  // host replaced meanwhile gets it from a peer.
-  it('keeps and hands over the newest through a long outage', () => {
+  // The store is unavailable for a long time. Hosts keep their targets and report them as unconfirmed;
+  // a replacement host receives them from a peer.
+  it('keeps the newest targets and sends them to peers during a long store outage', () => {
     const { clock, store, first } = start()
-    store.swap(documentOf(1, 'base'), 0)
-    store.swap(documentOf(2, 'newer'), 1)
+    store.compareAndSwap(documentOf(1, 'base'), 0)
+    store.compareAndSwap(documentOf(2, 'newer'), 1)
     first.readStore(store)
     clock.advance(3_600_000)
-    const replaced = new HostFixture(clock)
+    const replaced = new TestHost(clock)
     if (first.core.newest !== null)
       replaced.handle({ kind: 'learned', document: first.core.newest })
     replaced.requestConfirmation(first)
@@ -156,12 +154,12 @@
     expect([first.confirmed, replaced.confirmed]).toEqual([true, true])
   })
 
-  // The store's host lost its newest writes and came back with an older copy. Read naively, the
-  // fleet would go back to targets that an operator had replaced.
-  it('puts the newest back into a store that was restored from an older copy', () => {
+  // The store lost its newest writes and was restored from an older copy. Without a repair the fleet
+  // would return to targets that an operator had replaced.
+  it('writes the newest document back to a store that was restored from an older copy', () => {
     const { store, first, second } = start()
     for (const version of [1, 2, 3]) {
-      store.swap(documentOf(version, `change-${version}`), version - 1)
+      store.compareAndSwap(documentOf(version, `change-${version}`), version - 1)
       first.readStore(store)
     }
     store.document = documentOf(1, 'change-1')
@@ -172,30 +170,30 @@
     expect(store.document.changeId).toEqual('change-3')
   })
 
-  // An operator changed the targets on top of the restored copy before any host had mended it. That
-  // change was accepted too: it must neither be lost nor hide behind a version the fleet is past.
-  it('moves a change made on top of a restored copy above all versions', () => {
+  // An operator changed the targets on top of the restored copy before any host had repaired it. That
+  // change was accepted too: it must neither be lost nor be ignored because of its lower version.
+  it('gives a change made on top of a restored copy a version above all others', () => {
     const { store, first, second } = start()
     for (const version of [1, 2, 3]) {
-      store.swap(documentOf(version, `change-${version}`), version - 1)
+      store.compareAndSwap(documentOf(version, `change-${version}`), version - 1)
       first.readStore(store)
     }
     store.document = documentOf(1, 'change-1')
     store.revision = 1
-    store.swap(documentOf(2, 'made-on-old-copy'), 1)
+    store.compareAndSwap(documentOf(2, 'made-on-old-copy'), 1)
     first.readStore(store)
     first.readStore(store)
     expect([first.change, second.change]).toEqual(['made-on-old-copy', 'made-on-old-copy'])
     expect([first.version, store.document.version]).toEqual([4, 4])
   })
 
-  // The same, seen by a host that began after the restored versions: it knows them from the history
-  // that the newest document carries.
+  // The same on a host that started after the restored versions were written: it knows them from the
+  // history that the newest document carries.
   for (const { name, stored, change } of [
     { name: 'an older copy', stored: documentOf(2, 'second'), change: 'third' },
     { name: 'a change on top of one', stored: documentOf(2, 'other'), change: 'other' },
   ]) {
-    it(`tells ${name} by the newest document's history`, () => {
+    it(`recognises ${name} by the history in the newest document`, () => {
       const { store, first } = start()
       const recentChangeIds = ['first', 'second']
       first.handle({ kind: 'learned', document: { ...documentOf(3, 'third'), recentChangeIds } })
@@ -207,17 +205,18 @@
     })
   }
 
-  it('does not bring back an old version that a peer still holds', () => {
+  it('does not adopt an older version from a peer', () => {
     const { first, second, store } = start()
-    store.swap(documentOf(1, 'base'), 0)
-    store.swap(documentOf(2, 'newer'), 1)
+    store.compareAndSwap(documentOf(1, 'base'), 0)
+    store.compareAndSwap(documentOf(2, 'newer'), 1)
     first.readStore(store)
     second.handle({ kind: 'learned', document: documentOf(1, 'base') })
     expect([first.version, second.version]).toEqual([2, 2])
   })
 
-  // A zone is cut off while an operator changes the targets. The cut-off hosts cannot know, say so
-  // within the bound, and meanwhile do not use what the last change they saw had loosened.
+  // A zone is cut off while an operator changes the targets. The hosts in it cannot know of the change;
+  // they report their targets as unconfirmed within the time limit, and from then on do not use
+  // anything that the last change they received had loosened.
   const loosenings: readonly {
     readonly name: string
     readonly before: Partial<ClassTargets>
@@ -249,18 +248,18 @@
       unconfirmed: gallery({ idempotent: false }),
     },
     {
-      name: 'nothing, but tightened freshness',
+      name: 'no more than before and tightened freshness',
       before: { freshnessMilliseconds: 5000 },
       after: { freshnessMilliseconds: 500 },
       unconfirmed: gallery({ freshnessMilliseconds: 500 }),
     },
   ]
   for (const { name, before, after, unconfirmed } of loosenings) {
-    it(`keeps to the stricter when the last change allowed ${name} and is not confirmed`, () => {
+    it(`applies the stricter targets while the last change, which allowed ${name}, is not confirmed`, () => {
       const { clock, store, first } = start()
-      store.swap(documentOf(1, 'base', before), 0)
+      store.compareAndSwap(documentOf(1, 'base', before), 0)
       first.readStore(store)
-      store.swap(documentOf(2, 'last', after), 1)
+      store.compareAndSwap(documentOf(2, 'last', after), 1)
       first.readStore(store)
       expect(first.core.inForce(clock.now())?.targets.classes).toEqual([gallery(after)])
       clock.advance(13_001)
@@ -271,9 +270,9 @@
     })
   }
 
-  it('reports once when it can no longer confirm', () => {
+  it('reports once that the targets are no longer confirmed', () => {
     const { clock, store, first } = start()
-    store.swap(documentOf(1, 'base'), 0)
+    store.compareAndSwap(documentOf(1, 'base'), 0)
     first.readStore(store)
     const reports: boolean[] = []
     for (const span of [12_000, 2000, 2000]) {
@@ -288,18 +287,25 @@
   const confirmations = [
     { name: 'another version', version: 1, changeId: 'base', askedBefore: 0, age: 0, ok: false },
     { name: 'another change', version: 2, changeId: 'other', askedBefore: 0, age: 0, ok: false },
-    { name: 'the same', version: 2, changeId: 'newer', askedBefore: 0, age: 12_000, ok: true },
     {
-      name: 'the same, too old',
+      name: 'the same document',
+      version: 2,
+      changeId: 'newer',
+      askedBefore: 0,
+      age: 12_000,
+      ok: true,
+    },
+    {
+      name: 'the same document, too old',
       version: 2,
       changeId: 'newer',
       askedBefore: 0,
       age: 14_000,
       ok: false,
     },
-    // The answer lay in a frozen process: its age says nothing of the time it lay there.
+    // The answer was delayed in a stalled process; its age does not include that delay.
     {
-      name: 'the same, held up',
+      name: 'the same document, delayed',
       version: 2,
       changeId: 'newer',
       askedBefore: 14_000,
@@ -308,7 +314,7 @@
     },
   ]
   for (const { name, version, changeId, askedBefore, age, ok } of confirmations) {
-    it(`takes a peer's word for ${name} as ${ok ? 'confirmation' : 'none'}`, () => {
+    it(`treats a peer's answer about ${name} as ${ok ? 'a confirmation' : 'no confirmation'}`, () => {
       const { clock, first } = start()
       first.handle({ kind: 'learned', document: documentOf(2, 'newer') })
       const askedAt = milliseconds(clock.now() - askedBefore)
@@ -318,9 +324,9 @@
     })
   }
 
-  it('keeps its targets when the store has none', () => {
+  it('keeps its targets and writes them back when the store has none', () => {
     const { store, first } = start()
-    store.swap(documentOf(1, 'base'), 0)
+    store.compareAndSwap(documentOf(1, 'base'), 0)
     first.readStore(store)
     store.document = null
     store.revision = 0
--- a/packages/coordination/__tests__/fleetSimulation.ts
+++ b/packages/coordination/__tests__/fleetSimulation.ts
@@ -1,6 +1,6 @@
 /**
- * Several hosts' membership and news machines under a virtual clock, joined by fake links that can
- * be cut. A cut link swallows what is sent; a link to a dead process breaks at once.
+ * Simulates the membership and gossip state machines of several hosts under a virtual clock, connected
+ * by fake links that can be cut. A cut link drops what is sent; a link to a dead process breaks at once.
  */
 import type { Member } from '@nutmegcourse/protocol'
 import {
@@ -41,12 +41,12 @@
   readonly gossip: NewsCore
   readonly links: Set<EntryHostId>
   neighbours: readonly EntryHostId[]
-  frozen: boolean
+  stalled: boolean
 }
 
 export class FleetSimulation {
   readonly clock = new VirtualClock()
-  /** Who called whom failed by its own judgement, in order. */
+  /** Failures that hosts declared by their own detection, in order: `by` declared `host` failed. */
   readonly failureDeclarations: { readonly by: EntryHostId; readonly host: EntryHostId }[] = []
   readonly #options: MembershipOptions
   readonly #running = new Map<EntryHostId, RunningHost>()
@@ -77,7 +77,7 @@
     this.#sendHostList()
   }
 
-  /** `bornAt` is the wall clock from which the host takes its incarnation. */
+  /** `bornAt` is the wall clock time that the host uses as its incarnation. */
   start(host: SimulatedHost, bornAt = 1): void {
     const self: Member = {
       entryHost: host.id,
@@ -96,7 +96,7 @@
       gossip: new NewsCore(),
       links: new Set<EntryHostId>(),
       neighbours: [],
-      frozen: false,
+      stalled: false,
     }
     this.#running.set(host.id, running)
     this.#handleGossip(running, { kind: 'learned', item: { kind: 'member', member: self } })
@@ -109,13 +109,13 @@
     for (const other of this.#running.values()) this.#breakLink(other, id)
   }
 
-  leave(id: EntryHostId): void {
+  shutDown(id: EntryHostId): void {
     this.#handleMembership(this.#get(id), { kind: 'stop' })
     this.kill(id)
   }
 
-  freeze(id: EntryHostId, frozen: boolean): void {
-    this.#get(id).frozen = frozen
+  setStalled(id: EntryHostId, stalled: boolean): void {
+    this.#get(id).stalled = stalled
   }
 
   cut(isCut: (left: SimulatedHost, right: SimulatedHost) => boolean): void {
@@ -126,12 +126,12 @@
     this.#cut = () => false
   }
 
-  /** A broken variant: what hosts say against their own failure is not passed on. */
+  /** A faulty variant: refutations by hosts that were declared failed are not gossiped. */
   dropRefutations(): void {
     this.#dropsRefutations = true
   }
 
-  /** Old news reaches a host late. */
+  /** Delivers a delayed gossip item to a host. */
   deliver(to: EntryHostId, member: Member): void {
     const from = entryHostId('late')
     const items = [{ kind: 'member', member } as const]
@@ -142,7 +142,7 @@
     return this.#get(id).membership
   }
 
-  /** Hosts that `viewer` holds to be alive, itself included. */
+  /** Hosts that `viewer` considers alive, itself included. */
   aliveAt(viewer: EntryHostId): readonly string[] {
     return this.membership(viewer)
       .members()
@@ -156,7 +156,7 @@
       this.clock.advance(STEP_MILLISECONDS)
       this.#steps += 1
       for (const [index, running] of [...this.#running.values()].entries()) {
-        if (running.frozen) continue
+        if (running.stalled) continue
         if ((this.#steps + index) % TICK_STEPS === 0)
           this.#handleMembership(running, { kind: 'tick' })
         const every = HEARTBEAT_STEPS * running.membership.heartbeatEvery
@@ -166,7 +166,8 @@
   }
 
   #heartbeat(running: RunningHost): void {
-    for (const peer of running.neighbours) if (!running.links.has(peer)) this.#dial(running, peer)
+    for (const peer of running.neighbours)
+      if (!running.links.has(peer)) this.#connect(running, peer)
     for (const peer of running.links) {
       const other = this.#running.get(peer)
       if (other === undefined || !this.#reaches(running, other)) continue
@@ -181,7 +182,7 @@
     this.#handleGossip(receiver, { kind: 'rootHeard', peer, root: sender.gossip.root })
   }
 
-  #dial(running: RunningHost, peer: EntryHostId): void {
+  #connect(running: RunningHost, peer: EntryHostId): void {
     const other = this.#running.get(peer)
     if (other === undefined) {
       this.#handleMembership(running, { kind: 'linkLost', peer })
@@ -201,7 +202,7 @@
   }
 
   #reaches(from: RunningHost, to: RunningHost): boolean {
-    return !from.frozen && !to.frozen && !this.#cut(from.host, to.host)
+    return !from.stalled && !to.stalled && !this.#cut(from.host, to.host)
   }
 
   #handleMembership(running: RunningHost, message: MembershipMessage): void {
@@ -224,8 +225,8 @@
     if (effect.kind !== 'probe') return
     const helper = this.#running.get(effect.helper)
     const subject = this.#running.get(effect.subject)
-    const heard = helper !== undefined && this.#reaches(running, helper)
-    const reached = heard && subject !== undefined && this.#reaches(helper, subject)
+    const helperReached = helper !== undefined && this.#reaches(running, helper)
+    const reached = helperReached && subject !== undefined && this.#reaches(helper, subject)
     this.#handleMembership(running, { kind: 'probeAnswered', subject: effect.subject, reached })
   }
 
@@ -245,7 +246,7 @@
     if (other === undefined || !this.#reaches(running, other)) {
       if (effect.kind === 'compare') this.#handleGossip(running, { kind: 'compareFailed', peer })
       if (effect.kind === 'fetch') this.#handleGossip(running, { kind: 'fetchEnded', peer })
-      // The batch is lost: a real link is dropped after a while, and compared when it is new.
+      // The batch is lost: a real link is closed after a timeout, and its digests are compared once it is new.
       if (effect.kind === 'sendBatch') this.#breakLink(running, peer)
       return
     }
@@ -270,7 +271,7 @@
 
   #get(id: EntryHostId): RunningHost {
     const running = this.#running.get(id)
-    if (running === undefined) throw new Error(`${id} does not run`)
+    if (running === undefined) throw new Error(`${id} is not running`)
     return running
   }
 }
--- a/packages/coordination/__tests__/gossip.spec.ts
+++ b/packages/coordination/__tests__/gossip.spec.ts
@@ -44,7 +44,7 @@
   )
 
 describe('NewsCore', () => {
-  it('keeps the newest of a key in whatever order its versions arrive', () => {
+  it('keeps the newest version of a key in whichever order the versions arrive', () => {
     const items = [1, 2, 3].map(drains)
     fc.assert(
       fc.property(fc.shuffledSubarray(items, { minLength: 1 }), order => {
@@ -63,7 +63,7 @@
     { name: 'an abandoned move', older: group('a', 2, MOVING, 4), newer: group('a', 2, STABLE, 5) },
   ]
   for (const { name, older, newer } of recordOrders) {
-    it(`takes ${name} over what was before it, as the failover machine does`, () => {
+    it(`replaces the previous record by ${name}, as the failover state machine does`, () => {
       for (const order of [
         [older, newer],
         [newer, older],
@@ -77,7 +77,7 @@
     })
   }
 
-  it('sends news to every peer but the one it came from, and repeats nothing', () => {
+  it('relays an item to every peer except its sender, and only once', () => {
     const core = new NewsCore()
     core.handle({ kind: 'peerConnected', peer: PEER })
     core.handle({ kind: 'peerConnected', peer: OTHER })
@@ -87,8 +87,8 @@
     expect(core.handle({ kind: 'batchReceived', peer: OTHER, items: [drains(1)] })).toEqual([])
   })
 
-  // A peer takes long over a batch. What changes meanwhile waits, the newest of each key alone.
-  it('has one batch under way to a peer and sends only the newest after it', () => {
+  // A peer is slow to acknowledge a batch. Meanwhile only the newest version of each key is queued.
+  it('keeps one batch in flight to a peer and sends only the newest versions after it', () => {
     const core = new NewsCore()
     core.handle({ kind: 'peerConnected', peer: PEER })
     const sent = [1, 2, 3, 4].flatMap(version =>
@@ -100,7 +100,7 @@
     expect(core.handle({ kind: 'batchTaken', peer: PEER })).toEqual([])
   })
 
-  it('finds what a push missed by comparing digests, in both directions', () => {
+  it('finds items that a push missed by comparing digests, in both directions', () => {
     fc.assert(
       fc.property(
         fc.array(fc.tuple(fc.integer({ min: 0, max: 200 }), fc.integer({ min: 1, max: 5 }))),
@@ -123,7 +123,7 @@
     )
   })
 
-  it('passes on a few items that a comparison found, as the push did that missed this host', () => {
+  it('relays a few items found by a comparison, like the push that did not reach this host', () => {
     const core = new NewsCore()
     core.handle({ kind: 'peerConnected', peer: PEER })
     core.handle({ kind: 'peerConnected', peer: OTHER })
@@ -131,9 +131,9 @@
     expect([batchesTo(effects, PEER), batchesTo(effects, OTHER)]).toEqual([[], [[drains(3)]]])
   })
 
-  // A host that has just begun differs from all its neighbours, and would take the whole state from
-  // each of them.
-  it('takes the state from one neighbour at a time, and sends none of it on', () => {
+  // A host that has just started differs from all its neighbours and would otherwise fetch the whole
+  // state from each of them.
+  it('fetches the whole state from one neighbour at a time, and relays none of it', () => {
     const full = new NewsCore()
     for (let name = 0; name < 600; name += 1) {
       full.handle({ kind: 'learned', item: group(`db-${name}`, 1, STABLE, 1) })
@@ -156,7 +156,7 @@
     expect(newHost.handle({ kind: 'rootHeard', peer: OTHER, root: 1 }).length).toEqual(1)
   })
 
-  it('does not compare over a difference that a push is about to end', () => {
+  it('does not start a comparison for a difference that a push in progress may resolve', () => {
     const core = new NewsCore()
     core.handle({ kind: 'peerConnected', peer: PEER })
     core.handle({ kind: 'rootHeard', peer: PEER, root: core.root })
@@ -168,7 +168,7 @@
 })
 
 describe('NewsQueue', () => {
-  // One receiver is slow: 1,000 changes of 10 keys come while it takes one batch of 64.
+  // One receiver is slow: 1,000 changes of 10 keys arrive while it receives one batch of 64.
   const policies = [
     { name: 'replacing older items', replaceOlder: true, limit: 64, length: 10, dropped: 0 },
     { name: 'keeping every item', replaceOlder: false, limit: 64, length: 64, dropped: 936 },
@@ -183,7 +183,7 @@
     })
   }
 
-  it('does not let a key that changes all the time hold up the others, nor be held up', () => {
+  it('neither delays other keys nor starves a key that changes constantly', () => {
     const queue = new NewsQueue({ limit: 10, replaceOlder: true })
     queue.push(group('busy', 1, STABLE, 1))
     queue.push(group('quiet', 1, STABLE, 1))
@@ -194,7 +194,7 @@
   })
 })
 
-/** Each side compares with the other once, over a link that loses nothing. */
+/** Each side compares once with the other, over a lossless link. */
 function synchronise(left: NewsCore, right: NewsCore): void {
   left.handle({ kind: 'peerConnected', peer: PEER })
   right.handle({ kind: 'peerConnected', peer: OTHER })
--- a/packages/coordination/__tests__/synchronous/limitHolders.spec.ts
+++ b/packages/coordination/__tests__/synchronous/limitHolders.spec.ts
@@ -32,7 +32,7 @@
     [1500, LIMIT_PARTS],
   ]
   for (const [count, holders] of sizes) {
-    it(`${String(count)} hosts hold ${String(holders)} parts, in different zones`, () => {
+    it(`places ${String(holders)} parts on ${String(count)} hosts, in different zones`, () => {
       const hosts = fleet(count)
       for (const customer of CUSTOMERS.slice(0, 10)) {
         const planned = planLimitHolders(customer, hosts)
@@ -43,7 +43,7 @@
     })
   }
 
-  it('moves few parts when a host leaves', () => {
+  it('moves only the parts of a host that leaves', () => {
     const hosts = fleet(71)
     const before = CUSTOMERS.map(customer => planLimitHolders(customer, hosts))
     hosts.delete('host-7')
@@ -54,7 +54,7 @@
     expect(moved.every(host => host === 'host-7')).toEqual(true)
   })
 
-  it('is asked near ones first, and not by all of a zone in one order', () => {
+  it('orders near holders first, and starts with different holders for different customers', () => {
     const hosts = fleet(71)
     const firsts = new Set<string>()
     for (const customer of CUSTOMERS) {
@@ -72,7 +72,7 @@
   const hosts = fleet(71)
   const plan = planOwners('db-1', hosts, 6)
 
-  it('is the same order at every host of a region', () => {
+  it('returns every owner, beginning with one of the region', () => {
     for (const customer of CUSTOMERS) {
       const order = ownersForCustomer(plan, 'db-1', customer, { region: 'a' })
       expect([...order].sort()).toEqual([...plan.owners].sort())
@@ -80,7 +80,7 @@
     }
   })
 
-  it('spreads customers over the owners of a region', () => {
+  it('distributes customers over the owners of a region', () => {
     const counts = new Map<string, number>()
     for (const customer of CUSTOMERS) {
       const [first = ''] = ownersForCustomer(plan, 'db-1', customer, { region: 'b' })
--- a/packages/coordination/__tests__/synchronous/primaryChange.spec.ts
+++ b/packages/coordination/__tests__/synchronous/primaryChange.spec.ts
@@ -21,7 +21,7 @@
 const A = backendServerId('a')
 const B = backendServerId('b')
 
-/** A group with one synchronous replica, where tests decide who answers and who receives. */
+/** A group with one synchronous replica; tests control which servers answer and which receive writes. */
 class FakeGroup implements GroupOrders {
   readonly received = new Map<BackendServerId, number>()
   readonly pausedFor = new Map<BackendServerId, Term>()
@@ -43,7 +43,7 @@
     )
   }
 
-  /** The old primary takes one more write and sends it to whoever receives. */
+  /** The old primary accepts one more write and sends it to every replica that receives. */
   write(): void {
     if (!this.primaryWrites || this.steppedDown) return
     const next = (this.received.get(P) ?? 0) + 1
@@ -112,43 +112,43 @@
 }
 
 /**
- * Story of each: the primary is dead, cut off or leaving; one host replaces it, while the old one may
- * go on taking writes. A caller whose write was acknowledged must find it at the new primary,
- * whoever that is; where nobody is known to hold it, nobody may be promoted.
+ * In each case the primary is dead, cut off or leaving, and one host replaces it while the old one may
+ * still accept writes. Every acknowledged write must be on the new primary; if no server is known to
+ * hold all of them, none may be promoted.
  */
 const CASES: readonly Case[] = [
   {
-    name: 'a primary that lives keeps acknowledging through the candidate',
+    name: 'a live primary keeps acknowledging writes through the candidate',
     positions: { p: 100, a: 100, b: 100 },
     members: [member(A), member(B, { distance: 1 })],
     chosen: A,
   },
   {
-    name: 'a dead primary: the replica with more wins when the other is far behind',
+    name: 'a dead primary: chooses the replica that is ahead when the other is far behind',
     positions: { p: 100, a: 40, b: 100 },
     arrange: group => (group.primaryWrites = false),
     chosen: B,
   },
   {
-    name: 'a dead primary: a few records decide as well',
+    name: 'a dead primary: chooses the replica that is only one record ahead',
     positions: { p: 100, a: 99, b: 100 },
     arrange: group => (group.primaryWrites = false),
     chosen: B,
   },
   {
-    name: 'the nearer replica wins between equals',
+    name: 'chooses the nearer of two replicas with equal logs',
     positions: { p: 100, a: 100, b: 100 },
     members: [member(A, { distance: 2 }), member(B, { distance: 1 })],
     chosen: B,
   },
   {
-    name: 'a replica that leaves is not chosen while one that stays is as far',
+    name: 'does not choose a leaving replica while one that stays has an equal log',
     positions: { p: 100, a: 100, b: 100 },
     members: [member(A, { isLeaving: true }), member(B)],
     chosen: B,
   },
   {
-    name: 'a leaving replica that alone holds the last writes is chosen after all',
+    name: 'chooses a leaving replica if it alone holds the last writes',
     positions: { p: 100, a: 100, b: 90 },
     members: [member(A, { isLeaving: true }), member(B)],
     arrange: group => {
@@ -158,13 +158,13 @@
     chosen: A,
   },
   {
-    name: 'a deaf candidate is found out, and the other one is chosen',
+    name: 'detects a candidate that receives nothing and chooses the other replica',
     positions: { p: 100, a: 95, b: 100 },
     arrange: group => group.notReceiving.add(A),
     chosen: B,
   },
   {
-    name: 'one replica out of reach and the primary dead: nobody',
+    name: 'one replica unreachable and the primary dead: chooses none',
     positions: { p: 100, a: 100, b: 100 },
     arrange: group => {
       group.unreachable.add(P).add(B)
@@ -172,13 +172,13 @@
     chosen: 'unknownReplica',
   },
   {
-    name: 'one replica out of reach: the old primary steps down and tells where it ended',
+    name: 'one replica unreachable: the old primary steps down and reports its last position',
     positions: { p: 100, a: 90, b: 100 },
     arrange: group => group.unreachable.add(B),
     chosen: A,
   },
   {
-    name: 'one replica out of reach, the other deaf: it never reaches the old primary',
+    name: 'one replica unreachable, the other receiving nothing: fails as not caught up',
     positions: { p: 100, a: 90, b: 100 },
     arrange: group => {
       group.unreachable.add(B)
@@ -187,7 +187,7 @@
     chosen: 'notCaughtUp',
   },
   {
-    name: 'no replica answers',
+    name: 'no replica answers: chooses none',
     positions: { p: 100, a: 100, b: 100 },
     arrange: group => {
       group.unreachable.add(A).add(B)
@@ -195,7 +195,7 @@
     chosen: 'noReplica',
   },
   {
-    name: 'a coordinator died after it had paused both',
+    name: 'a previous coordinator died after pausing both replicas',
     positions: { p: 100, a: 100, b: 98 },
     arrange: group => {
       group.pausedFor.set(A, term(2)).set(B, term(2))
@@ -223,10 +223,10 @@
     })
   }
 
-  // A caller sees reads of one database slow for hours: after a change both other replicas stay
-  // behind. Two hosts had changed the primary one after the other; the second paused the replicas
-  // for the term after the first's pause, which the promotion to the next term did not end.
-  it('pauses for the next term also where a replica is paused already', async () => {
+  // Guards against replicas that stay behind for hours after a change of primary, which makes reads of
+  // the database slow. Two hosts changed the primary one after the other; the second paused the replicas
+  // for the term after the first one's pause, and the promotion to the next term did not end that pause.
+  it('pauses for the next term even if a replica is already paused', async () => {
     const group = new FakeGroup({ p: 100, a: 100, b: 100 })
     group.pausedFor.set(B, term(2))
     const plan = { oldPrimary: P, replicas: [member(A), member(B)], synchronousReplicas: 1 }
--- a/packages/coordination/__tests__/synchronous/primaryChoiceExplored.spec.ts
+++ b/packages/coordination/__tests__/synchronous/primaryChoiceExplored.spec.ts
@@ -5,17 +5,16 @@
 import { PrimaryChoice, type GroupOrders } from '../../src/index.js'
 import { explore, type Choices } from './choiceExplorer.js'
 
-// A caller's write was acknowledged, and after a change of primary it is gone: the promoted server had
-// never received it. That takes one unlucky order among writes, receipts, a crash and lost orders, which
-// no story written by hand can be sure to hold. So the shipped choice runs under every order of
-// them, within the bounds below.
+// Guards against the loss of an acknowledged write because the promoted server never received it. The
+// fault depends on a rare order of writes, receipts, a crash and lost commands that hand-written scenarios
+// may not cover, so the shipped choice runs under every order of them, within the bounds below.
 
 const P = backendServerId('p')
 const A = backendServerId('a')
 const B = backendServerId('b')
 const NEXT = term(2)
 
-/** In one run. */
+/** Bounds for one run. */
 const EVENT_LIMIT = 2
 const LOST_COMMAND_LIMIT = 1
 
@@ -35,7 +34,7 @@
   { name: 'one behind, the primary dead', at: { p: 2, a: 1, b: 2 }, isDead: true },
 ]
 
-/** What may happen between two orders; the first is nothing. */
+/** Events that may occur between two commands; the first is none. */
 const EVENTS = ['nothing', 'writeToA', 'writeToB', 'receiveA', 'receiveB', 'crash'] as const
 
 class ExploredGroup implements GroupOrders {
@@ -47,7 +46,7 @@
   #hasSteppedDown = false
   #events = 0
   #lostOrders = 0
-  /** The newest write that a caller may have been told of. */
+  /** The newest write that may have been acknowledged to a caller. */
   acknowledged = 0
 
   constructor(choices: Choices, variant: Variant, start: Start) {
@@ -83,7 +82,7 @@
     return Promise.resolve()
   }
 
-  /** One of the events, or nothing. */
+  /** Runs one of the events, or none. */
   nextEvent(): void {
     if (this.#events >= EVENT_LIMIT) return
     const event = EVENTS[this.#choices.next(EVENTS.length)] ?? 'nothing'
@@ -121,7 +120,7 @@
     this.acknowledged = Math.max(this.acknowledged, held)
   }
 
-  /** Carried out and answered, carried out and the answer lost, or lost on the way. */
+  /** The command is executed and answered, executed with its answer lost, or lost before execution. */
   #command(server: BackendServerId, effect: () => unknown): Promise<ServerReport | null> {
     this.nextEvent()
     if (server === P && this.#isDead) return Promise.resolve(null)
@@ -141,11 +140,15 @@
   }
 }
 
-const member = (server: BackendServerId) => ({ server, isLeaving: false, distance: 0 })
+const replicaMember = (server: BackendServerId) => ({ server, isLeaving: false, distance: 0 })
 
 async function choose(group: ExploredGroup, variant: Variant): Promise<BackendServerId | null> {
   if (variant === 'firstAnswerWins') return (await group.report(A)) === null ? B : A
-  const plan = { oldPrimary: P, replicas: [member(A), member(B)], synchronousReplicas: 1 }
+  const plan = {
+    oldPrimary: P,
+    replicas: [replicaMember(A), replicaMember(B)],
+    synchronousReplicas: 1,
+  }
   const chosen = await new PrimaryChoice(plan, group).choose()
   return chosen.isOk() ? chosen.value.server : null
 }
@@ -156,7 +159,7 @@
   readonly losses: number
 }
 
-/** Up to the first loss. */
+/** Explores all sequences up to the first loss. */
 async function exploreAll(variant: Variant, start: Start): Promise<Explored> {
   let promotions = 0
   let losses = 0
@@ -165,7 +168,7 @@
     const chosen = await choose(group, variant)
     if (chosen === null) return true
     promotions += 1
-    // From the choice until the promotion takes effect the old primary may still write.
+    // Between the choice and the promotion the old primary may still accept writes.
     group.nextEvent()
     if (group.at(chosen) < group.acknowledged) losses += 1
     return losses === 0
@@ -184,7 +187,7 @@
 
   const mutations = ['pauseIsIgnored', 'stepDownIsIgnored', 'firstAnswerWins'] as const
   for (const variant of mutations) {
-    it(`is shown to need its steps: ${variant}`, async () => {
+    it(`loses an acknowledged write in the faulty variant ${variant}`, async () => {
       let losses = 0
       for (const start of STARTS) losses += (await exploreAll(variant, start)).losses
       expect(losses > 0).toEqual(true)
--- a/packages/coordination/__tests__/synchronous/primarySuspicion.spec.ts
+++ b/packages/coordination/__tests__/synchronous/primarySuspicion.spec.ts
@@ -24,18 +24,18 @@
   readonly rank: number
   readonly denials?: readonly string[]
   readonly votes: readonly (readonly [host: string, primary: typeof P, at: number])[]
-  /** The advice at each of these times, asked in order. */
+  /** The expected advice at each of these times, requested in order. */
   readonly advice: readonly (readonly [at: number, advice: SuspicionAdvice])[]
 }
 
 /**
- * Story: some hosts lose sight of a primary. When it is dead, each millisecond until one of them acts
- * is one without writes; when only those hosts are cut off, acting at once would move a healthy
- * primary away from all the others.
+ * Some hosts lose contact with a primary. If it is dead, writes fail until one of them acts, so each
+ * millisecond counts; if only those hosts are cut off, acting at once would replace a primary that is
+ * healthy for all others.
  */
 const CASES: readonly Case[] = [
   {
-    name: 'a short silence is trusted',
+    name: 'trusts the primary during a short silence',
     silent: 300,
     hosts: 9,
     rank: 0,
@@ -43,7 +43,7 @@
     advice: [[0, 'trust']],
   },
   {
-    name: 'alone with its view, a host votes and acts only later',
+    name: 'a host whose suspicion no other shares votes, and acts only later',
     silent: 600,
     hosts: 9,
     rank: 0,
@@ -56,8 +56,8 @@
   },
   {
     // Seven of nine hosts and the primary are cut off from the store, two hosts from the primary. The
-    // two hear no denial, but see that the replicas go on receiving.
-    name: 'its replicas go on receiving: it serves somebody',
+    // two receive no denial, but see that the replicas still receive writes.
+    name: 'does not act while the replicas still receive writes, as the primary serves other hosts',
     silent: 600,
     grew: 300,
     hosts: 9,
@@ -69,7 +69,7 @@
     ],
   },
   {
-    name: 'alone, but others reach the primary for it',
+    name: 'a host alone with its suspicion does not act while others reach the primary for it',
     silent: 600,
     reached: 200,
     hosts: 9,
@@ -81,7 +81,7 @@
     ],
   },
   {
-    name: 'with a quarter of the hosts it acts once the others could have denied',
+    name: 'acts with a quarter of the hosts once the others have had time to deny',
     silent: 600,
     hosts: 9,
     rank: 0,
@@ -96,7 +96,7 @@
     ],
   },
   {
-    name: 'with half of the hosts it acts at once, whoever denies',
+    name: 'acts at once with half of the hosts, regardless of denials',
     silent: 600,
     hosts: 6,
     rank: 0,
@@ -108,9 +108,9 @@
     advice: [[10, 'act']],
   },
   {
-    // A cut separates two of nine hosts from the primary and the others from its replicas. Moving it
+    // A partition separates two of nine hosts from the primary and the others from its replicas. A change
     // would give two hosts a primary and take it from seven.
-    name: 'as many deny as suspect: it stays where it is',
+    name: 'does not act while as many hosts deny as suspect',
     silent: 600,
     hosts: 9,
     rank: 0,
@@ -122,7 +122,7 @@
     ],
   },
   {
-    name: 'a later rank waits for its turn',
+    name: 'a host of a later rank waits for its turn',
     silent: 600,
     hosts: 9,
     rank: 2,
@@ -137,7 +137,7 @@
     ],
   },
   {
-    name: 'votes against another server do not count',
+    name: 'does not count votes against another server',
     silent: 600,
     hosts: 9,
     rank: 0,
@@ -148,7 +148,7 @@
     advice: [[10, 'vote']],
   },
   {
-    name: 'votes lapse',
+    name: 'does not count expired votes',
     silent: 600,
     hosts: 9,
     rank: 0,
@@ -159,7 +159,7 @@
     advice: [[4100, 'vote']],
   },
   {
-    name: 'a port that refuses twice has no process behind it',
+    name: 'acts on a primary whose port refused two connections',
     refusals: 2,
     hosts: 2,
     rank: 0,
@@ -167,7 +167,7 @@
     advice: [[10, 'act']],
   },
   {
-    name: 'the only host that is left needs nobody',
+    name: 'the only remaining host acts without votes of others',
     silent: 600,
     hosts: 1,
     rank: 0,
@@ -205,7 +205,7 @@
     })
   }
 
-  it('starts anew when the primary answers in between', () => {
+  it('starts a new suspicion after the primary has answered in between', () => {
     const suspicion = new PrimarySuspicion()
     const silent = {
       primary: P,
@@ -223,7 +223,7 @@
 describe('records in the store', () => {
   const unreadable = ['', 'no json', '[]', '{}', '{"phase":"claimed"}', '{"holder":7}', 'null']
   for (const text of unreadable) {
-    it(`reads nothing from ${JSON.stringify(text)}`, () => {
+    it(`returns null for the invalid record ${JSON.stringify(text)}`, () => {
       expect([readChangeRecord(text), readSuspicionRecord(text), readHostRecord(text)]).toEqual([
         null,
         null,
@@ -232,7 +232,7 @@
     })
   }
 
-  it('reads what it wrote', () => {
+  it('reads back the records and names that it wrote', () => {
     const done = { phase: 'done', holder: 'h', primary: P } as const
     expect(readChangeRecord(writeRecord(done))).toEqual(done)
     const denial = { primary: P, reaches: true }
--- a/packages/coordination/__tests__/synchronous/serviceOwners.spec.ts
+++ b/packages/coordination/__tests__/synchronous/serviceOwners.spec.ts
@@ -26,7 +26,7 @@
     { count: 12, zones: 6 },
     { count: 1, zones: 1 },
   ]) {
-    it(`spreads ${count} owners over ${zones} zones`, () => {
+    it(`distributes ${count} owners over ${zones} zones`, () => {
       const hosts = fleet(ZONES, 10)
       const { owners } = planOwners('s', hosts, count)
       expect(owners.length).toEqual(count)
@@ -34,7 +34,7 @@
     })
   }
 
-  it('moves only what it must when a host goes', () => {
+  it('replaces only the owner that leaves', () => {
     const hosts = fleet(ZONES, 10)
     const before = planOwners('s', hosts, 6).owners
     const [gone = ''] = before
@@ -43,7 +43,7 @@
     expect(after.filter(host => before.includes(host)).length).toEqual(5)
   })
 
-  it('draws strong hosts more often than weak ones', () => {
+  it('chooses strong hosts more often than weak ones', () => {
     const hosts = new Map<string, HostRecord>()
     for (let index = 0; index < 10; index += 1) {
       hosts.set(`weak-${index}`, record('a1', 0.3))
@@ -57,13 +57,13 @@
     expect(strong > 140 && strong < 180).toEqual(true)
   })
 
-  it('takes every host when there are fewer than owners', () => {
+  it('chooses every host when there are fewer hosts than owners', () => {
     expect(planOwners('s', fleet(['a1'], 2), 6).owners.length).toEqual(2)
   })
 })
 
 describe('ownersFrom', () => {
-  it('asks near owners first, then far ones, then hosts of its zone that own nothing', () => {
+  it('returns near owners first, then far ones, then hosts of its zone that are not owners', () => {
     const hosts = fleet(ZONES, 2)
     const plan = planOwners('s', hosts, 6)
     const self = [...hosts.keys()].find(
--- a/packages/coordination/__tests__/synchronous/zoneFollowers.spec.ts
+++ b/packages/coordination/__tests__/synchronous/zoneFollowers.spec.ts
@@ -17,7 +17,7 @@
   return records
 }
 
-// Hosts that follow the store themselves: the others cost it nothing.
+// Number of hosts, of zones and of hosts that watch the store themselves; the others make no calls to the store.
 const LOADS: readonly (readonly [number, number, number])[] = [
   [9, 3, 9],
   [69, 6, 6],
@@ -26,9 +26,9 @@
   [1500, 12, 12],
 ]
 
-describe('the hosts that follow the store themselves', () => {
+describe('planFollowers', () => {
   for (const [hosts, zones, expected] of LOADS) {
-    it(`are ${expected} of ${hosts} in ${zones} zones`, () => {
+    it(`lets ${expected} of ${hosts} hosts in ${zones} zones watch the store`, () => {
       const records = fleet(hosts, zones)
       const direct = [...records].filter(
         ([host, { zone }]) => followersBefore(planFollowers(zone, records), host).length === 0,
@@ -37,19 +37,19 @@
     })
   }
 
-  it('are strong ones', () => {
+  it('chooses the strongest hosts', () => {
     const records = fleet(195, 6)
     const weights = planFollowers('z0', records).map(host => records.get(host)?.weight)
     expect(weights).toEqual([1.35, 1.35, 1.35])
   })
 
-  it('are only such as other hosts can reach', () => {
+  it('chooses no hosts that others cannot reach', () => {
     const records = fleet(12, 1)
     for (const host of records.keys()) records.set(host, record('z0', 1, null))
     expect(planFollowers('z0', records)).toEqual([])
   })
 
-  it('stay when a host comes that is no stronger, or when one of the others goes', () => {
+  it('keeps its choice when a host joins that is no stronger, or when another host leaves', () => {
     const records = fleet(60, 1)
     const before = planFollowers('z0', records)
     const other = [...records.keys()].find(host => !before.includes(host)) ?? ''
--- a/packages/coordination/__tests__/virtualNetwork.ts
+++ b/packages/coordination/__tests__/virtualNetwork.ts
@@ -1,11 +1,11 @@
-/** Named processes in zones, joined by links under a virtual clock; they die, freeze and part. */
+/** Simulates named processes in zones, connected by links under a virtual clock; they can be killed, stalled and cut off. */
 import TinyQueue from 'tinyqueue'
 import { VirtualClock } from '@nutmegcourse/shared'
 
-/** The zones of one customer: the first two share a region. */
+/** The zones of one customer; the first two are in the same region. */
 export interface Place {
   readonly zones: readonly [string, string, string]
-  /** One-way, between the zones of a region, in milliseconds. */
+  /** One-way latency between the zones of a region, in milliseconds. */
   readonly zoneLatency: number
 }
 
@@ -34,7 +34,7 @@
   )
   readonly #zoneOf = new Map<string, string>()
   readonly #killed = new Set<string>()
-  readonly #frozen = new Map<string, (() => void)[]>()
+  readonly #stalledCallbacks = new Map<string, (() => void)[]>()
   readonly #cuts = new Set<string>()
   #order = 0
 
@@ -59,16 +59,16 @@
   }
 
   freeze(name: string): void {
-    if (!this.#frozen.has(name)) this.#frozen.set(name, [])
+    if (!this.#stalledCallbacks.has(name)) this.#stalledCallbacks.set(name, [])
   }
 
   thaw(name: string): void {
-    const held = this.#frozen.get(name) ?? []
-    this.#frozen.delete(name)
+    const held = this.#stalledCallbacks.get(name) ?? []
+    this.#stalledCallbacks.delete(name)
     for (const run of held) run()
   }
 
-  /** Parts one zone, or one name, from everything else. */
+  /** Cuts off one zone, or one process, from all others. */
   isolate(name: string): void {
     this.#cuts.add(name)
   }
@@ -82,13 +82,13 @@
   }
 
   isFrozen(name: string): boolean {
-    return this.#frozen.has(name)
+    return this.#stalledCallbacks.has(name)
   }
 
-  /** Dead, frozen, or apart from the others. */
+  /** Whether the process is dead, stalled or cut off. */
   isOut(name: string): boolean {
     const isCut = this.#cuts.has(name) || this.#cuts.has(this.#zoneOf.get(name) ?? '')
-    return this.#killed.has(name) || this.#frozen.has(name) || isCut
+    return this.#killed.has(name) || this.#stalledCallbacks.has(name) || isCut
   }
 
   regionOf(zone: string): string {
@@ -112,16 +112,16 @@
     this.clock.advance(end - this.now)
   }
 
-  /** Delivers after the link's latency, unless a cut parts the two; a frozen receiver holds it. */
+  /** Delivers after the link's latency, unless the two are cut off from each other; delayed while the receiver is stalled. */
   pass(from: string, to: string, deliver: () => void): void {
     this.schedule(this.#latency(from, to), () => {
       if (!this.#isDisconnected(from, to)) this.whenAwake(to, deliver)
     })
   }
 
-  /** Runs now, or once a frozen process wakes. */
+  /** Runs the callback now, or once a stalled process resumes. */
   whenAwake(name: string, run: () => void): void {
-    const held = this.#frozen.get(name)
+    const held = this.#stalledCallbacks.get(name)
     if (held === undefined) run()
     else held.push(run)
   }
--- a/packages/coordination/__tests__/watchers.spec.ts
+++ b/packages/coordination/__tests__/watchers.spec.ts
@@ -4,7 +4,7 @@
 import { WatcherPlan, chooseNeighbours, type HostPlace, type Watcher } from '../src/index.js'
 
 const ZONES = ['a', 'b', 'c', 'd', 'e', 'f']
-/** Three zones a region. */
+/** Three zones per region. */
 const regionOf = (zone: string): string => (ZONES.indexOf(zone) < 3 ? 'west' : 'east')
 const place = (zone: string) => ({
   zone: availabilityZoneId(zone),
@@ -34,20 +34,30 @@
       zones: ['a', 'b', 'c'],
     },
     {
-      name: 'the servers in two zones: a third zone of the region',
+      name: 'servers in two zones: adds a third zone of the region',
       hosts: hostsIn(ZONES, 3),
       servers: [place('a'), place('b'), place('b')],
       zones: ['a', 'b', 'c'],
     },
     {
-      name: 'a zone without hosts: another region rather than a second of a zone',
+      name: 'a zone without hosts: prefers another region to a second host of a zone',
       hosts: hostsIn(['a', 'b', 'd'], 3),
       servers: SERVERS,
       zones: ['a', 'b', 'd'],
     },
-    { name: 'one zone left', hosts: hostsIn(['a'], 3), servers: SERVERS, zones: ['a', 'a', 'a'] },
-    { name: 'two hosts left', hosts: hostsIn(['a', 'b'], 1), servers: SERVERS, zones: ['a', 'b'] },
-    { name: 'nobody left', hosts: [], servers: SERVERS, zones: [] },
+    {
+      name: 'only one zone has hosts',
+      hosts: hostsIn(['a'], 3),
+      servers: SERVERS,
+      zones: ['a', 'a', 'a'],
+    },
+    {
+      name: 'only two hosts exist',
+      hosts: hostsIn(['a', 'b'], 1),
+      servers: SERVERS,
+      zones: ['a', 'b'],
+    },
+    { name: 'no host exists', hosts: [], servers: SERVERS, zones: [] },
   ]
   for (const { name, hosts, servers, zones } of placements) {
     it(`places watchers: ${name}`, () => {
@@ -58,7 +68,7 @@
     })
   }
 
-  it('gives the same answer whatever order hosts are known in', () => {
+  it('chooses the same watchers in whichever order the hosts are given', () => {
     const hosts = hostsIn(ZONES, 4)
     const plan = new WatcherPlan(hosts)
     const reversed = new WatcherPlan([...hosts].reverse())
@@ -67,7 +77,7 @@
     }
   })
 
-  it('moves only what a host that goes had watched', () => {
+  it('reassigns only the databases of a host that leaves', () => {
     const hosts = hostsIn(ZONES, 4)
     const before = new WatcherPlan(hosts)
     const [gone] = hosts
@@ -80,7 +90,7 @@
     }
   })
 
-  it('spreads databases over the hosts of a zone within twice the mean', () => {
+  it('distributes databases so that no host of a zone watches more than twice the mean', () => {
     const plan = new WatcherPlan(hostsIn(ZONES, 4))
     const counts = new Map<string, number>()
     for (const database of DATABASES) {
@@ -94,13 +104,13 @@
 })
 
 describe('chooseNeighbours', () => {
-  it('links everyone in a small fleet', () => {
+  it('links all hosts in a small fleet', () => {
     const [self, ...others] = hostsIn(['a', 'b', 'c'], 3)
     if (self === undefined) throw new Error('no hosts')
     expect(chooseNeighbours(self, others).length).toEqual(8)
   })
 
-  it('links a few near and far in a large fleet, so that all are connected, and each zone by itself', () => {
+  it('links a few hosts of each distance in a large fleet, so that the fleet and each zone by itself are connected', () => {
     const hosts = hostsIn(ZONES, 30)
     const links = hosts.map(host => ({
       host,
@@ -121,7 +131,7 @@
   })
 })
 
-/** How many hosts the first one reaches over links in either direction. */
+/** The number of hosts that the first one reaches over links in either direction. */
 function reachedFrom(
   hosts: readonly HostPlace[],
   links: readonly { readonly host: HostPlace; readonly peers: ReadonlySet<string> }[],
--- a/packages/coordination/src/configurationCore.ts
+++ b/packages/coordination/src/configurationCore.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the newest targets that this host ever learned, tells whether it can still confirm that
- * they are the newest, and mends a store that came back with older ones.
- * Sans-I/O: one message and the time in, effects out.
+ * Keeps the newest targets document that this host has received, tracks whether it is still confirmed
+ * as the newest, and repairs a store that was restored with an older one.
+ * Sans-I/O: takes one message and the time, returns effects.
  */
 import { RECENT_CHANGES_KEPT, type VersionedTargets } from '@nutmegcourse/protocol'
 import { assertNever, type Milliseconds } from '@nutmegcourse/shared'
@@ -13,7 +13,7 @@
 import { stricterTargets } from './stricterTargets.js'
 
 export interface ConfigurationOptions {
-  /** Longest time since the newest version was last confirmed. */
+  /** The newest version counts as confirmed for this long after its last confirmation. */
   readonly confirmationMilliseconds: number
 }
 
@@ -21,7 +21,7 @@
   confirmationMilliseconds: 13_000,
 }
 
-/** Versions whose change is remembered, to tell a restored store from a change made on top of one. */
+/** Versions whose change id is kept, to tell a restored store from a change made on top of one. */
 const REMEMBERED_VERSIONS = 256
 
 export class ConfigurationCore {
@@ -41,7 +41,7 @@
     return this.#newest
   }
 
-  /** How long ago the newest version was known to be the store's, in milliseconds; null for never. */
+  /** Milliseconds since the newest version was last confirmed as the store's; null if it never was. */
   confirmationAge(now: Milliseconds): number | null {
     return this.#confirmedAt === null ? null : now - this.#confirmedAt
   }
@@ -52,9 +52,10 @@
   }
 
   /**
-   * What this host acts on: the newest targets while it can confirm them. Otherwise something newer
-   * may be in force elsewhere, and a host that loosened a target by the last change it saw may be
-   * the only one that still does; it keeps to the stricter of that change and the one before.
+   * The targets that this host applies: the newest ones while they are confirmed. Without
+   * confirmation a newer version may be in force elsewhere, and this host may be the only one that
+   * still applies a target loosened by the last change it received; it applies the stricter of that
+   * change and the one before.
    */
   inForce(now: Milliseconds): VersionedTargets | null {
     if (this.#newest === null) return null
@@ -99,10 +100,11 @@
   }
 
   /**
-   * The store holds less than this host once saw: it was restored from an older copy. Seen as an
-   * operator, an accepted change would silently be gone. Putting the newest back keeps it in force.
-   * A document whose version this host knows to belong to another change was made on top of the
-   * restored copy; it was accepted too, so it is not overwritten but moved to a version above all.
+   * The store holds an older version than this host has read: it was restored from an older copy.
+   * Without a repair, a change that an operator saw accepted would be lost silently, so the newest
+   * document is written back. A document whose version this host knows under another change id was
+   * written on top of the restored copy. It was accepted too, so it is not overwritten but given a
+   * version above all others.
    */
   #repair(
     newest: VersionedTargets,
@@ -115,7 +117,7 @@
     return [{ kind: 'repairStore', document, expectedRevision: revision }]
   }
 
-  /** A host that can not tell takes the document for the older copy that it mostly is. */
+  /** A host that has no change id for the version assumes an older copy, the more common case. */
   #isFork(stored: VersionedTargets | null, newest: VersionedTargets): stored is VersionedTargets {
     if (stored === null) return false
     const known =
@@ -132,7 +134,7 @@
   #adopt(document: VersionedTargets): void {
     this.#previous = this.#newest
     this.#newest = document
-    // The word that confirmed the former version says nothing of this one.
+    // A confirmation of the previous version does not apply to this one.
     this.#confirmedAt = null
     this.#remember(document)
   }
@@ -140,8 +142,8 @@
   #peerConfirmed(name: DocumentName, askedAt: Milliseconds, ageMilliseconds: number): void {
     if (this.#newest === null) return
     if (name.version !== this.#newest.version || name.changeId !== this.#newest.changeId) return
-    // Counted from the question, so that an answer that was held up in a frozen process or a cut
-    // link does not make old knowledge look fresh.
+    // The age counts from the request, so that an answer delayed by a stalled process or a cut link
+    // does not make an old confirmation look recent.
     this.#confirm((askedAt - ageMilliseconds) as Milliseconds)
   }
 
@@ -168,7 +170,7 @@
   }
 }
 
-/** The change that `version` was, by the history that a later document carries. */
+/** The change id of `version`, from the history that a later document carries. */
 function recordedChangeId(document: VersionedTargets, version: number): string | undefined {
   return document.recentChangeIds.at(version - document.version)
 }
--- a/packages/coordination/src/configurationMessages.ts
+++ b/packages/coordination/src/configurationMessages.ts
@@ -1,26 +1,26 @@
-/** The interface of the configuration machine: which targets are in force at this host. */
+/** Messages and effects of the configuration state machine, which tracks the targets in force at this host. */
 import type { VersionedTargets } from '@nutmegcourse/protocol'
 import type { Milliseconds } from '@nutmegcourse/shared'
 
-/** Names one document: two may carry one version when a restored store gave it out again. */
+/** Identifies one document: a restored store may assign the same version to two of them. */
 export interface DocumentName {
   readonly version: number
   readonly changeId: string
 }
 
 export type ConfigurationMessage =
-  /** The store's document, null for none, and when this host asked for it. */
+  /** The store's document, null for none, and when this host requested it. */
   | {
       readonly kind: 'storeAnswered'
       readonly document: VersionedTargets | null
       readonly revision: number
       readonly askedAt: Milliseconds
     }
-  /** Another agent handed over a document. */
+  /** Another agent sent a document. */
   | { readonly kind: 'learned'; readonly document: VersionedTargets }
   /**
-   * Another agent's word that the named document was the store's newest `ageMilliseconds` before
-   * it answered a question of `askedAt`.
+   * Another agent's confirmation that the named document was the store's newest `ageMilliseconds`
+   * before it answered a request sent at `askedAt`.
    */
   | {
       readonly kind: 'peerConfirmed'
@@ -28,18 +28,18 @@
       readonly ageMilliseconds: number
       readonly askedAt: Milliseconds
     }
-  /** A repair was carried out; the answer may be lost and the next read tells. */
+  /** A repair was attempted. Its answer may be lost; the next read shows whether it took effect. */
   | { readonly kind: 'repairEnded' }
   | { readonly kind: 'tick' }
 
 export type ConfigurationEffect =
-  /** In force here from now on; also to be spread. */
+  /** The document is in force here from now on, and is to be gossiped. */
   | { readonly kind: 'adopt'; readonly document: VersionedTargets }
-  /** The store lost something: put this there, if it still holds `expectedRevision`. */
+  /** The store lost a version: write this document if the key is still at `expectedRevision`. */
   | {
       readonly kind: 'repairStore'
       readonly document: VersionedTargets
       readonly expectedRevision: number
     }
-  /** Proxies need a new snapshot; operators see it in `status`. */
+  /** Proxies need a new snapshot, and `status` shows the change to operators. */
   | { readonly kind: 'confirmationChanged'; readonly confirmed: boolean }
--- a/packages/coordination/src/gossipCore.ts
+++ b/packages/coordination/src/gossipCore.ts
@@ -1,7 +1,7 @@
 /**
- * Spreads versioned items over the fleet. A new item is pushed at once to every neighbour, which
- * relays it in turn; what a push misses is found by comparing digests with a neighbour.
- * Sans-I/O: one message in, effects out.
+ * Gossips versioned items to the fleet. A new item is flooded: it is pushed at once to every neighbour,
+ * which relays it in turn. Anti-entropy, a comparison of digests with a neighbour, finds what a push
+ * missed. Sans-I/O: takes one message, returns effects.
  */
 import {
   compareVersions,
@@ -15,12 +15,12 @@
 import type { HeldVersion, NewsEffect, NewsMessage } from './gossipMessages.js'
 import { DEFAULT_GOSSIP_QUEUE, NewsQueue, type NewsQueueOptions } from './gossipQueue.js'
 
-/** Items in one message: large enough to drain a burst, small enough not to hold up a heartbeat. */
+/** Items in one message: enough to drain a burst, few enough not to delay a heartbeat. */
 const BATCH_ITEMS = 64
 const FETCH_BATCH_KEYS = 256
-/** Fetched items up to so many are passed on. */
+/** Fetched items are relayed to the other neighbours if there are at most this many. */
 const RELAYED_ITEMS_LIMIT = 16
-/** A push under way makes digests differ for a moment; only a lasting difference is worth a comparison. */
+/** A push in progress makes digests differ briefly; only a lasting difference justifies a comparison. */
 const DIFFERENCES_BEFORE_COMPARING = 2
 
 interface Peer {
@@ -29,7 +29,7 @@
   consecutiveDifferences: number
 }
 
-/** A comparison under way: from the question for versions until the last missing item is in. */
+/** A comparison in progress: from the request for versions until the last missing item is fetched. */
 interface Comparison {
   readonly peer: EntryHostId
   fetchesLeft: number
@@ -68,7 +68,7 @@
     return this.#versionsIn(new Set(this.#digest.differingBuckets(buckets)))
   }
 
-  /** Drops an item that no longer matters; it must not be taken in again. */
+  /** Drops an item that is no longer needed; it must not be learned again afterwards. */
   forget(key: string): void {
     const item = this.#items.get(key)
     if (item === undefined) return
@@ -112,7 +112,7 @@
     return {
       queue: new NewsQueue(this.#queueOptions),
       sending: false,
-      // A fresh link is compared at its first heartbeat: either side may have missed a lot.
+      // A new link is compared at its first heartbeat, as either side may have missed many items.
       consecutiveDifferences: DIFFERENCES_BEFORE_COMPARING - 1,
     }
   }
@@ -123,8 +123,9 @@
   }
 
   /**
-   * A few items are a push that ended somewhere, as at a healed cut, and go on from here. Many are a
-   * whole state that this host lacked: pushed on, a host that joins would send it to every neighbour.
+   * A few items are a push that was interrupted, for example by a network partition, and are relayed
+   * further. Many items are a whole state that this host lacked; if they were relayed, a host that
+   * joins would send the whole state to every neighbour.
    */
   #receiveFetched(items: readonly NewsItem[], from: EntryHostId): readonly NewsEffect[] {
     if (items.length <= RELAYED_ITEMS_LIMIT) return this.#learn(items, from)
@@ -156,7 +157,7 @@
     return effects
   }
 
-  /** One batch at a time is under way to a peer: while it is, newer items replace older ones here. */
+  /** One batch at a time is in flight to a peer; meanwhile newer items replace older ones in the queue. */
   #sendNext(id: EntryHostId, peer: Peer): readonly NewsEffect[] {
     if (peer.sending) return []
     const items = peer.queue.take(BATCH_ITEMS)
@@ -173,8 +174,8 @@
   }
 
   /**
-   * One comparison at a time, and each side takes what it lacks itself: a host that has just begun
-   * differs from all its neighbours, and would get the whole state from every one of them.
+   * Runs one comparison at a time, and each side fetches what it lacks. A host that has just started
+   * differs from all its neighbours and would otherwise fetch the whole state from each of them.
    */
   #receiveRoot(id: EntryHostId, root: number): readonly NewsEffect[] {
     const peer = this.#peers.get(id)
--- a/packages/coordination/src/gossipDigest.ts
+++ b/packages/coordination/src/gossipDigest.ts
@@ -1,6 +1,6 @@
 /**
- * A summary of many versioned items that is cheap to keep and to compare: hashes of buckets.
- * Two hosts with the same digest hold the same versions, but for a chance of 1 in 2^32.
+ * A digest of many versioned items that is cheap to update and to compare: one hash for each bucket.
+ * Two hosts with the same digest hold the same versions, except with a probability of 1 in 2^32.
  */
 import type { NewsVersion } from '@nutmegcourse/protocol'
 import { mixHashes, stableHash } from './stableHash.js'
@@ -12,14 +12,14 @@
 export class GossipDigest {
   readonly #buckets = new Array<number>(DIGEST_BUCKETS).fill(0)
 
-  /** Adds a version, or takes it out again: each is the other's inverse. */
+  /** Adds a version, or removes it again: the operation is its own inverse. */
   toggle(key: string, version: NewsVersion): void {
     const bucket = bucketOf(key)
     const entry = stableHash(`${key} ${version.join(' ')}`)
     this.#buckets[bucket] = ((this.#buckets[bucket] ?? 0) ^ entry) >>> 0
   }
 
-  /** One number for everything. */
+  /** One hash over all buckets. */
   root(): number {
     return this.#buckets.reduce(mixHashes, 0)
   }
@@ -28,7 +28,7 @@
     return [...this.#buckets]
   }
 
-  /** Numbers of the buckets in which another host holds something else. */
+  /** Indexes of the buckets whose hashes differ from another host's. */
   differingBuckets(others: readonly number[]): readonly number[] {
     return this.#buckets.flatMap((hash, bucket) => (hash === others[bucket] ? [] : [bucket]))
   }
--- a/packages/coordination/src/gossipMessages.ts
+++ b/packages/coordination/src/gossipMessages.ts
@@ -1,12 +1,12 @@
-/** The interface of the news machine: what one host knows, and how it reaches the others. */
+/** Messages and effects of the gossip state machine, which spreads versioned items between agents. */
 import type { NewsItem, NewsVersion } from '@nutmegcourse/protocol'
 import type { EntryHostId } from '@nutmegcourse/shared'
 
-/** A key and the version that a host holds of it. */
+/** A key and the version of it that a host holds. */
 export type HeldVersion = readonly [string, NewsVersion]
 
 export type NewsMessage =
-  /** This host learned it from the store or made it. */
+  /** This host read the item from the store or created it. */
   | { readonly kind: 'learned'; readonly item: NewsItem }
   | { readonly kind: 'peerConnected'; readonly peer: EntryHostId }
   | { readonly kind: 'peerDisconnected'; readonly peer: EntryHostId }
@@ -15,9 +15,9 @@
       readonly peer: EntryHostId
       readonly items: readonly NewsItem[]
     }
-  /** The peer took the last batch; the next may leave. */
+  /** The peer acknowledged the last batch; the next one may be sent. */
   | { readonly kind: 'batchTaken'; readonly peer: EntryHostId }
-  /** The digest root that came with a heartbeat of the peer. */
+  /** The digest root in a heartbeat of the peer. */
   | { readonly kind: 'rootHeard'; readonly peer: EntryHostId; readonly root: number }
   /** The peer's versions in the buckets that differ. */
   | {
@@ -32,23 +32,23 @@
       readonly peer: EntryHostId
       readonly items: readonly NewsItem[]
     }
-  /** The fetch is answered, or failed. */
+  /** The fetch was answered or failed. */
   | { readonly kind: 'fetchEnded'; readonly peer: EntryHostId }
 
 export type NewsEffect =
-  /** Something newer is known: whoever acts on it should. */
+  /** A newer version of the item is held; components that depend on it should apply it. */
   | { readonly kind: 'changed'; readonly item: NewsItem }
-  /** Answer with `batchTaken` once the peer has it. */
+  /** Sends a batch; answered with `batchTaken` once the peer has received it. */
   | {
       readonly kind: 'sendBatch'
       readonly peer: EntryHostId
       readonly items: readonly NewsItem[]
     }
-  /** Asks the peer for its versions where the digests differ. */
+  /** Requests the peer's versions in the buckets that differ. */
   | {
       readonly kind: 'compare'
       readonly peer: EntryHostId
       readonly buckets: readonly number[]
     }
-  /** Asks the peer for these items; what comes is a `fetched`, and in any case a `fetchEnded`. */
+  /** Requests these items from the peer; answered with `fetched` on success, and always with `fetchEnded`. */
   | { readonly kind: 'fetch'; readonly peer: EntryHostId; readonly keys: readonly string[] }
--- a/packages/coordination/src/gossipQueue.ts
+++ b/packages/coordination/src/gossipQueue.ts
@@ -1,13 +1,13 @@
 /**
- * What still has to be sent to one peer. Bounded, so that a slow or frozen receiver costs its
- * sender no memory and nobody else any time.
+ * Items that still have to be sent to one peer. The queue is bounded, so that a slow or stalled
+ * receiver neither uses up the sender's memory nor delays other peers.
  */
 import { newsKey, type NewsItem } from '@nutmegcourse/protocol'
 
 export interface NewsQueueOptions {
-  /** Most items that wait. */
+  /** Maximum number of queued items. */
   readonly limit: number
-  /** A newer item takes the place of the unsent older one of its key. */
+  /** Whether a newer item replaces the unsent older one of its key. */
   readonly replaceOlder: boolean
 }
 
@@ -28,12 +28,12 @@
     return this.#pending.size
   }
 
-  /** Items that never had to be sent because a newer one came before their turn. */
+  /** Items that were not sent because a newer one replaced them in the queue. */
   get replaced(): number {
     return this.#replaced
   }
 
-  /** Items given up because the queue was full; comparing digests makes up for them. */
+  /** Items dropped because the queue was full; a comparison of digests finds them later. */
   get dropped(): number {
     return this.#dropped
   }
@@ -47,11 +47,11 @@
       this.#dropped += 1
       return
     }
-    // A replaced item keeps its turn, so that a key that changes all the time is still sent.
+    // A replacement keeps the position in the queue, so that a key that changes constantly is still sent.
     this.#pending.set(key, item)
   }
 
-  /** Takes the oldest items, `most` at most. */
+  /** Removes and returns the oldest items, up to `limit`. */
   take(limit: number): readonly NewsItem[] {
     const taken: NewsItem[] = []
     for (const [key, item] of this.#pending) {
--- a/packages/coordination/src/indirectProbes.ts
+++ b/packages/coordination/src/indirectProbes.ts
@@ -1,4 +1,4 @@
-/** Silent hosts that helpers are looking for. */
+/** Tracks the indirect probes of silent hosts that are in progress. */
 import type { EntryHostId, Milliseconds } from '@nutmegcourse/shared'
 
 interface IndirectProbe {
@@ -31,7 +31,7 @@
     this.#open.clear()
   }
 
-  /** One helper did not reach it. True, and closed, when that was the last one. */
+  /** One helper did not reach the host. Returns true and closes the probe if no helper is left. */
   recordFailure(subject: EntryHostId): boolean {
     const probe = this.#open.get(subject)
     if (probe === undefined) return false
@@ -41,7 +41,7 @@
     return true
   }
 
-  /** Closes and returns those whose time is up. */
+  /** Closes the probes whose deadline has passed and returns their hosts. */
   expired(now: Milliseconds): readonly EntryHostId[] {
     const subjects = [...this.#open].filter(([, probe]) => now >= probe.deadline)
     for (const [subject] of subjects) this.#open.delete(subject)
--- a/packages/coordination/src/membershipCore.ts
+++ b/packages/coordination/src/membershipCore.ts
@@ -1,7 +1,8 @@
 /**
- * Which entry hosts live, as one host sees it. Each host watches its direct neighbours by heartbeat;
- * a silent one is looked for by a few helpers before it is called failed, and only the host itself,
- * by a newer incarnation, can take that back. Sans-I/O: one message and the time in, effects out.
+ * One host's view of which entry hosts are alive. Each host monitors its
+ * direct neighbours by heartbeat. Before a silent neighbour is declared failed, a few helpers probe it
+ * indirectly; only the host itself can refute the failure, with a newer incarnation.
+ * Sans-I/O: takes one message and the time, returns effects.
  */
 import { compareVersions, newsVersion, type Member, type NewsVersion } from '@nutmegcourse/protocol'
 import {
@@ -29,7 +30,7 @@
   readonly #random: RandomSource
   readonly #members = new Map<EntryHostId, Member>()
   readonly #listed = new Map<EntryHostId, ListedEntryHost>()
-  /** When each directly linked host was last heard. */
+  /** When the last message from each directly linked host arrived. */
   readonly #lastHeardAt = new Map<EntryHostId, Milliseconds>()
   readonly #unavailableSince = new Map<EntryHostId, Milliseconds>()
   readonly #indirectProbes: IndirectProbes
@@ -58,8 +59,9 @@
   }
 
   /**
-   * Heartbeats go out each so many intervals. In a large fleet they are most of what control sends, and
-   * half as many still find a frozen host within ten seconds; a killed one breaks its links at once.
+   * Number of heartbeat intervals between two heartbeats. In a large fleet heartbeats are most of the
+   * control traffic, and half as many still detect a stalled host within ten seconds; the links of a
+   * killed one break at once.
    */
   get heartbeatEvery(): number {
     return this.#isLarge() ? LARGE_FLEET_HEARTBEAT_INTERVALS : 1
@@ -69,7 +71,7 @@
     return this.#self
   }
 
-  /** Every host that is known, alive or not. */
+  /** All known hosts, alive or not. */
   members(): readonly Member[] {
     return [...this.#members.values()]
   }
@@ -79,9 +81,9 @@
   }
 
   /**
-   * Hosts that take on work: alive, and not leaving by the host list. A host that has just begun
-   * knows nobody yet; were it to count the others as absent, it would take on the whole fleet's work,
-   * a connection to every backend server among it. For that while it takes the list's word.
+   * Hosts that are assigned work: alive, and not marked as leaving in the host list. A host that has
+   * just started knows no others yet. If it treated them as absent, it would take on the whole fleet's
+   * work, including a connection to every backend server; until it has settled it relies on the list.
    */
   workers(now: Milliseconds): readonly HostPlace[] {
     const workers = this.members().filter(
@@ -99,8 +101,8 @@
   }
 
   /**
-   * Hosts that may hold connections to backend servers. A host that is cut off still holds its own,
-   * so everyone who is listed counts, heard or not, and so does a live host not listed yet.
+   * Hosts that may hold connections to backend servers. A host that is cut off keeps its connections,
+   * so every listed host counts, reachable or not, and so does a live host that is not listed yet.
    */
   connectionHolders(): number {
     const holders = new Set<EntryHostId>(this.#listed.keys())
@@ -110,7 +112,7 @@
     return holders.size
   }
 
-  /** Where the host's agent is reached: by the host list, which knows the way from this zone. */
+  /** The address of the host's agent; the host list goes first, as its address is valid from this zone. */
   placeOf(host: EntryHostId): { readonly address: string; readonly port: number } | null {
     return this.#listed.get(host) ?? this.#members.get(host) ?? null
   }
@@ -121,8 +123,8 @@
     if (effects.some(effect => effect.kind === 'changed') || retried !== this.#retriedHost) {
       this.#neighboursOutdated = true
     }
-    // In a large fleet changes come by the hundred, as when a host begins or a zone is cut off, and
-    // each choice looks at every host: there they are worked out once a tick.
+    // In a large fleet changes arrive by the hundred when a host starts or a zone is cut off, and each
+    // choice of neighbours iterates over all hosts, so it is recomputed once per tick.
     const isDue = message.kind === 'tick' || !this.#isLarge()
     return isDue && this.#neighboursOutdated ? [...effects, ...this.#updateNeighbours()] : effects
   }
@@ -185,9 +187,9 @@
   }
 
   /**
-   * Someone believes this host failed, or a former life of it is still spoken of. The failure shows
-   * as work that the fleet takes away from a host that is well. A greater incarnation outranks every
-   * word about earlier ones, whatever order the two arrive in.
+   * Another host believes that this one failed, or a report on an earlier incarnation of it is still
+   * in circulation. Without a refutation the fleet would take work away from a healthy host. A higher
+   * incarnation outranks every report on lower ones, in whichever order they arrive.
    */
   #refute(reported: Member): readonly MembershipEffect[] {
     const own = this.#self
@@ -212,7 +214,7 @@
     return former?.status === member.status ? [] : [changed(member.status, id)]
   }
 
-  /** The end of the settling time changes who works. */
+  /** The end of the settling time changes the set of workers. */
   #settlingChange(now: Milliseconds, former: Milliseconds): readonly MembershipEffect[] {
     const end = this.#startedAt + this.#options.settlingMilliseconds
     return former < end && now >= end ? [changed('settled', this.#self.entryHost)] : []
@@ -243,8 +245,8 @@
   }
 
   /**
-   * This process was frozen: nobody could be heard meanwhile. Counting that time as the others'
-   * silence would make a thawed host call the whole fleet failed.
+   * This process stalled and could receive no messages in that time. If the stall counted as silence
+   * of the others, a resumed host would declare the whole fleet failed.
    */
   #resetSilenceTimers(now: Milliseconds): void {
     for (const peer of this.#lastHeardAt.keys()) this.#lastHeardAt.set(peer, now)
@@ -266,9 +268,9 @@
   }
 
   /**
-   * Helpers that were heard lately, one of each of own zone, own region and elsewhere first: where
-   * a cut runs between two places but not through a third, the third sees both sides and keeps
-   * the two from calling each other failed over and over.
+   * Picks helpers that are not silent; one each from the own zone, the own region and other regions
+   * comes first. In a partial partition a third location reaches both sides, and its probes keep the
+   * two sides from repeatedly declaring each other failed.
    */
   #pickHelpers(subject: EntryHostId, now: Milliseconds): readonly EntryHostId[] {
     const silent = new Set(this.#silentPeers(now))
@@ -283,7 +285,7 @@
     return [...order].slice(0, this.#options.helpers)
   }
 
-  /** 0 within the zone, 1 within the region, 2 beyond. */
+  /** 0 within the zone, 1 within the region, 2 in another region. */
   #distanceTo(host: EntryHostId): number {
     const member = this.#members.get(host)
     if (member?.region !== this.#self.region) return 2
@@ -298,7 +300,7 @@
     if (!this.#indirectProbes.isOpen(subject)) return []
     if (reached) {
       this.#indirectProbes.close(subject)
-      // Alive, though not heard from here: it is looked for again after another silence.
+      // Alive, though this host receives nothing from it: it is probed again after another silence.
       if (this.#lastHeardAt.has(subject)) this.#lastHeardAt.set(subject, now)
       return []
     }
@@ -348,7 +350,7 @@
     return [{ kind: 'neighbours', hosts }]
   }
 
-  /** In a small fleet everyone who may come back; in a large one those that live. */
+  /** In a small fleet all hosts, as failed ones may return; in a large one only the live hosts. */
   #neighbourCandidates(): readonly HostPlace[] {
     const known = new Map<EntryHostId, HostPlace>()
     for (const [id, { zone, region }] of this.#listed) {
@@ -361,7 +363,7 @@
     const allHosts = [...known.values()]
     if (allHosts.length <= this.#options.neighbours.fullMeshHosts) return allHosts
     const alive = allHosts.filter(host => this.isAlive(host.entryHost))
-    // A host that has just begun knows nobody yet: the list is where it starts.
+    // A host that has just started knows no live hosts yet, so it starts from the list.
     return alive.length > 0 ? alive : allHosts
   }
 
--- a/packages/coordination/src/membershipOptions.ts
+++ b/packages/coordination/src/membershipOptions.ts
@@ -1,20 +1,20 @@
-/** The membership machine's bounds. */
+/** Timeouts and limits of the membership state machine. */
 import { DEFAULT_NEIGHBOUR_OPTIONS, type NeighbourOptions } from './neighbours.js'
 
 export interface MembershipOptions {
   readonly heartbeatIntervalMilliseconds: number
-  /** Heartbeats that may go missing before helpers are asked. */
+  /** Heartbeats that may go missing before helpers are asked to probe the host. */
   readonly silentHeartbeats: number
-  /** How long helpers have, and the host itself to be heard again. */
+  /** Time for helpers to reach the host, or for a message of the host to arrive, before it is declared failed. */
   readonly indirectProbeMilliseconds: number
   readonly helpers: number
-  /** A gap between ticks of more heartbeats than this means that this process itself stood still. */
+  /** A gap between ticks that is longer than this number of heartbeat intervals counts as a stall of this process. */
   readonly stallHeartbeats: number
-  /** How long a host that has just begun takes listed hosts to be alive before it heard of them. */
+  /** After its start a host treats listed hosts as alive for this long, even if it knows nothing of them yet. */
   readonly settlingMilliseconds: number
-  /** One host that is thought to be gone is tried this often, so that a healed cut is noticed. */
+  /** Interval at which one unavailable host is retried, so that the end of a network partition is noticed. */
   readonly retryIntervalMilliseconds: number
-  /** A host that is gone and no longer listed is forgotten after this. */
+  /** An unavailable host that is no longer listed is forgotten after this time. */
   readonly forgetMilliseconds: number
   readonly neighbours: NeighbourOptions
 }
--- a/packages/coordination/src/neighbours.ts
+++ b/packages/coordination/src/neighbours.ts
@@ -1,7 +1,8 @@
 /**
- * Which hosts a host holds standing links to: everyone in a small fleet, a bounded few in a large
- * one. The few are picked by rendezvous hash of the pair, so that one host's coming or going moves
- * only links to that host; both ends of a link use it, so a host has about twice what it picks.
+ * Chooses the hosts to which a host keeps permanent links: all others in a small fleet, a bounded
+ * number in a large one. These are chosen by the rendezvous hash of the pair, so that a host that
+ * joins or leaves changes only links to that host. Both ends use a link, so a host has about twice as
+ * many links as it chooses.
  */
 import type { AvailabilityZoneId, EntryHostId, RegionId } from '@nutmegcourse/shared'
 import { mixHashes, stableHash } from './stableHash.js'
@@ -13,12 +14,12 @@
 }
 
 export interface NeighbourOptions {
-  /** Up to so many other hosts, everyone is everyone's neighbour. */
+  /** With up to this many other hosts, all hosts are linked to each other. */
   readonly fullMeshHosts: number
-  /** Enough that the hosts of a zone that is cut off stay connected among themselves. */
+  /** Large enough that the hosts of a zone that is cut off stay connected to each other. */
   readonly inZone: number
   readonly inRegion: number
-  /** Few: these cross the paid link. */
+  /** Small, since traffic between regions is billed. */
   readonly inOtherRegions: number
 }
 
--- a/packages/coordination/src/stableHash.ts
+++ b/packages/coordination/src/stableHash.ts
@@ -1,14 +1,14 @@
-/** Hashes that are the same at every host and in every release: what they decide must agree. */
+/** Hashes that are equal on every host and in every release, since hosts must reach the same decisions by them. */
 import { xxHash32 } from 'js-xxhash'
 
-/** An unsigned 32-bit number. */
+/** Returns an unsigned 32-bit number. */
 export const stableHash = (text: string): number => xxHash32(text)
 
-/** Names of hosts and services are few, and each is hashed again in every draw. */
+/** Limit of the cache: there are few names of hosts and services, and each is hashed for every ranking. */
 const NAME_CACHE_LIMIT = 8192
 const hashByName = new Map<string, number>()
 
-/** `stableHash` of the name of a host or a service, which is kept. */
+/** `stableHash` of the name of a host or a service, cached. */
 export function nameHash(name: string): number {
   const known = hashByName.get(name)
   if (known !== undefined) return known
@@ -18,7 +18,7 @@
   return hash
 }
 
-/** Combines two hashes so that each bit of either moves half the bits of the result. */
+/** Combines two hashes so that flipping any bit of either flips about half the bits of the result. */
 export function mixHashes(left: number, right: number): number {
   let mixed = (left ^ Math.imul(right, 0x9e3779b1)) >>> 0
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b)
--- a/packages/coordination/src/stricterTargets.ts
+++ b/packages/coordination/src/stricterTargets.ts
@@ -1,6 +1,6 @@
 /**
- * The stricter of two targets documents, class by class: what no operator can have meant to loosen,
- * whichever of the two is in force.
+ * Combines two targets documents into the stricter of both, class by class: a host that applies it
+ * violates neither, whichever of the two is in force.
  */
 import type { ClassTargets, Targets } from '@nutmegcourse/protocol'
 
@@ -13,12 +13,12 @@
 
 function stricterClass(newest: ClassTargets, other: ClassTargets | undefined): ClassTargets {
   if (other === undefined) return newest
-  // A class that reads in one and writes in the other has nothing to compare: the newest goes.
+  // The targets of a read class and a write class are not comparable, so the newest apply.
   if (other.access !== newest.access) return newest
   return {
     name: newest.name,
     access: newest.access,
-    // Sending a request twice that may not be repeated does harm; refusing a retry does not.
+    // Retrying a request that is not idempotent does harm; refusing a retry does not.
     idempotent: newest.idempotent && other.idempotent,
     freshnessMilliseconds: Math.min(newest.freshnessMilliseconds, other.freshnessMilliseconds),
     latencyMilliseconds: Math.min(newest.latencyMilliseconds, other.latencyMilliseconds),
--- a/packages/coordination/src/synchronous/changeRecord.ts
+++ b/packages/coordination/src/synchronous/changeRecord.ts
@@ -1,30 +1,30 @@
 /**
- * The fleet's records in the store that concern changes of primary, and entry hosts. Each is a small
- * JSON document that every host reads.
+ * The fleet's records in the store: changes of primary, suspicions of a primary and entry hosts. Each is
+ * a small JSON document that every host reads.
  */
 import { backendServerId, type AttemptId, type BackendServerId } from '@nutmegcourse/shared'
 import { attemptId } from '@nutmegcourse/shared'
 
-/** Who changes a service's primary, or who led after the last change. */
+/** Which host is changing a service's primary, or which server became primary in the last change. */
 export type ChangeRecord =
-  /** Stands under its holder's lease: it vanishes with a holder that dies or is cut off. */
+  /** Tied to the lease of its holder: it is removed when the holder dies or is cut off. */
   | { readonly phase: 'claimed'; readonly holder: string; readonly attempt: AttemptId }
   | { readonly phase: 'done'; readonly holder: string; readonly primary: BackendServerId }
 
-/** What a host says of the primary of a service when some host finds it silent. */
+/** A host's view of the primary of a service, recorded when some host gets no answer from it. */
 export interface SuspicionRecord {
   readonly primary: BackendServerId
-  /** True when this host reaches it, false when it finds it silent too. */
+  /** True if this host reaches the primary, false if it gets no answer either. */
   readonly reaches: boolean
 }
 
-/** An entry host that takes callers. */
+/** An entry host that accepts callers. */
 export interface HostRecord {
   readonly zone: string
   readonly region: string
-  /** Where it runs statements for other hosts; null when it does not. */
+  /** The address at which it runs statements for other hosts; null if it does not. */
   readonly relay: string | null
-  /** Its part of a processor, against which it is given work. */
+  /** Its share of a processor; work is assigned in proportion to it. */
   readonly weight: number
 }
 
@@ -94,7 +94,7 @@
   return typeof value === 'string' ? value : null
 }
 
-/** An empty table for text that is no table: the reader then finds no field and gives null. */
+/** Returns an empty object for text that is not a JSON object, so that readers find no field and return null. */
 function parse(text: string): Fields {
   try {
     const value: unknown = JSON.parse(text)
--- a/packages/coordination/src/synchronous/limitHolders.ts
+++ b/packages/coordination/src/synchronous/limitHolders.ts
@@ -1,12 +1,12 @@
-/** Which entry hosts hold the parts of a customer's limit, and in which order a host asks them. */
+/** Plans which entry hosts hold the parts of a customer's limit, and the order in which a host asks them. */
 import type { CustomerName } from '@nutmegcourse/shared'
 import { mixHashes, nameHash } from '../stableHash.js'
 import type { HostRecord } from './changeRecord.js'
 import { hostDistance, planOwners } from './serviceOwners.js'
 
 /**
- * Hosts that hold a part. With one of five gone, four fifths of the limit are left; a host that newly holds a part
- * while another one has not heard of it adds a fifth at most.
+ * Number of hosts that hold a part. Without one of the five, four fifths of the limit remain; a host that becomes
+ * a holder before the other hosts know of it adds a fifth at most.
  */
 export const LIMIT_PARTS = 5
 
@@ -17,7 +17,7 @@
   return planOwners(`limit of ${customer}`, hosts, LIMIT_PARTS).owners
 }
 
-/** Near ones first. Hosts of one place begin with different ones, so that the parts are used up evenly. */
+/** Orders the nearest holders first. Hosts of one zone start with different holders, so that the parts are used evenly. */
 export function limitHoldersFrom(
   holders: readonly string[],
   hosts: ReadonlyMap<string, HostRecord>,
--- a/packages/coordination/src/synchronous/primaryChange.ts
+++ b/packages/coordination/src/synchronous/primaryChange.ts
@@ -1,19 +1,19 @@
 /**
  * Replaces the primary of a group whose writes are acknowledged once one replica has received them.
  *
- * What must hold: every acknowledged write is in the log of the server that is promoted. The order
- * of steps sees to it, whether the old primary is dead, cut off or well:
+ * Invariant: every acknowledged write is in the log of the server that is promoted. The order of the
+ * steps ensures it, whether the old primary is dead, cut off or healthy:
  *
- * 1. All replicas but the candidate are paused. From then on only the candidate can acknowledge, so
- *    all that is acknowledged later is in its log.
- * 2. The candidate is asked for its position. At or past all paused ones, it also holds everything
- *    acknowledged before: each such write is in one replica at least.
- * 3. If it stays behind one of them, it is paused too, and the one with the most is promoted.
+ * 1. All replicas except the candidate are paused. From then on only the candidate can acknowledge, so
+ *    every write acknowledged later is in its log.
+ * 2. The candidate is asked for its position. If it is at or past all paused replicas, it also holds
+ *    every write acknowledged earlier, since each of them is in at least one replica.
+ * 3. If it stays behind one of them, it is paused too, and the replica furthest ahead is promoted.
  *
- * A replica that can not be reached may hold, and go on acknowledging, what nobody else has. Then
- * only the old primary's word helps: it steps down, which ends its writes, and the candidate must
- * reach its position. A primary that lives goes on serving through steps 1 to 3 until the promotion
- * takes effect, so a planned move interrupts writes hardly at all.
+ * An unreachable replica may hold, and go on acknowledging, writes that no other replica has. Then only
+ * the position of the old primary decides: it steps down, which ends its writes, and the candidate must
+ * reach its position. A live primary keeps serving through steps 1 to 3 until the promotion takes
+ * effect, so a planned move hardly interrupts writes.
  */
 import { err, ok, type Result } from 'neverthrow'
 import {
@@ -29,31 +29,31 @@
 export interface GroupMember {
   readonly server: BackendServerId
   readonly isLeaving: boolean
-  /** Lower is a better place for a primary. */
+  /** Lower is a better location for a primary. */
   readonly distance: number
 }
 
 export interface ChangePlan {
   readonly oldPrimary: BackendServerId | null
-  /** Every server of the group that may hold acknowledged writes, the old primary not among them. */
+  /** Every server of the group that may hold acknowledged writes, except the old primary. */
   readonly replicas: readonly GroupMember[]
-  /** Acknowledged writes stand in so many replicas at least. */
+  /** Minimum number of replicas that hold an acknowledged write. */
   readonly synchronousReplicas: number
 }
 
-/** Orders to backend servers. Null when no answer came in time. */
+/** Commands to backend servers. They return null if no answer arrives in time. */
 export interface GroupOrders {
   report(server: BackendServerId): Promise<ServerReport | null>
   pause(server: BackendServerId, term: Term): Promise<ServerReport | null>
   stepDown(server: BackendServerId, term: Term): Promise<ServerReport | null>
-  /** Waits before a server is asked again. */
+  /** Waits before a server is queried again. */
   rest(): Promise<void>
 }
 
 export interface ChosenPrimary {
   readonly server: BackendServerId
   readonly position: LogPosition
-  /** Where each replica that answered stood. */
+  /** The position of each replica that answered. */
   readonly positions: readonly { readonly server: BackendServerId; readonly at: LogPosition }[]
   readonly how: 'candidateHoldsAll' | 'furthestOfAll' | 'oldPrimarySteppedDown'
 }
@@ -61,11 +61,11 @@
 export type ChoiceFailure =
   /** No replica answers. */
   | { readonly kind: 'noReplica' }
-  /** Somebody who may hold more can be neither paused nor made to step down. */
+  /** A server that may hold more writes could be neither paused nor made to step down. */
   | { readonly kind: 'unknownReplica'; readonly server: BackendServerId }
   | { readonly kind: 'notCaughtUp'; readonly server: BackendServerId }
 
-/** How often a candidate that is behind is asked again before the next way is taken. */
+/** Number of times a candidate that is behind is queried before the change continues another way or fails. */
 const CATCH_UP_ATTEMPTS = 10
 
 interface Replica extends GroupMember {
@@ -74,14 +74,14 @@
 
 export class PrimaryChoice {
   readonly #plan: ChangePlan
-  readonly #orders: GroupOrders
+  readonly #commands: GroupOrders
 
-  constructor(plan: ChangePlan, orders: GroupOrders) {
+  constructor(plan: ChangePlan, commands: GroupOrders) {
     this.#plan = plan
-    this.#orders = orders
+    this.#commands = commands
   }
 
-  /** Finds the server to promote, and keeps it safe to promote. */
+  /** Chooses the server to promote, and pauses or stops the others so that it remains safe to promote. */
   async choose(): Promise<Result<ChosenPrimary, ChoiceFailure>> {
     const { replicas, oldPrimary } = this.#plan
     const asked = await Promise.all(replicas.map(member => this.#requestReport(member)))
@@ -99,16 +99,16 @@
   }
 
   async #requestReport(member: GroupMember): Promise<Replica | null> {
-    const report = await this.#orders.report(member.server)
+    const report = await this.#commands.report(member.server)
     return report === null ? null : { ...member, report }
   }
 
   async #pause(member: GroupMember, nextTerm: Term): Promise<Replica | null> {
-    const report = await this.#orders.pause(member.server, nextTerm)
+    const report = await this.#commands.pause(member.server, nextTerm)
     return report === null || report.pausedFor === 0 ? null : { ...member, report }
   }
 
-  /** Null when the candidate does not reach the paused replicas. */
+  /** Returns null if the candidate does not reach the positions of the paused replicas. */
   async #awaitCandidate(
     candidate: Replica,
     paused: readonly Replica[],
@@ -116,8 +116,8 @@
   ): Promise<ChosenPrimary | null> {
     const attempts = mayCatchUp ? CATCH_UP_ATTEMPTS : 1
     for (let asked = 0; asked < attempts; asked += 1) {
-      if (asked > 0) await this.#orders.rest()
-      const report = await this.#orders.report(candidate.server)
+      if (asked > 0) await this.#commands.rest()
+      const report = await this.#commands.report(candidate.server)
       if (report?.pausedFor !== 0) return null
       const holdsAll = paused.every(other => isAtOrPast(report.received, other.report.received))
       if (holdsAll) {
@@ -148,32 +148,32 @@
     const { oldPrimary } = this.#plan
     const failure: ChoiceFailure = { kind: 'unknownReplica', server: unreachable.server }
     if (oldPrimary === null) return err(failure)
-    const last = await this.#orders.stepDown(oldPrimary, nextTerm)
+    const last = await this.#commands.stepDown(oldPrimary, nextTerm)
     if (last?.role !== 'replica') return err(failure)
     for (let asked = 0; asked < CATCH_UP_ATTEMPTS; asked += 1) {
-      const report = await this.#orders.report(candidate.server)
+      const report = await this.#commands.report(candidate.server)
       if (report !== null && isAtOrPast(report.received, last.received)) {
         return ok(chosenPrimary({ ...candidate, report }, [], 'oldPrimarySteppedDown'))
       }
-      await this.#orders.rest()
+      await this.#commands.rest()
     }
     return err({ kind: 'notCaughtUp', server: candidate.server })
   }
 }
 
 /**
- * The term that a replica may already be paused for does not count: a pause for a later term than
- * the next primary's would outlast the promotion, and the replica would never receive again.
+ * Ignores the term for which a replica may already be paused: a pause for a later term than the next
+ * primary's would outlast the promotion, and the replica would never receive writes again.
  */
 const newestTerm = ({ report }: Replica): number => Math.max(report.term, report.received.term)
 
 /**
- * Replicas whose logs differ by no more than this many records count as equally far: that much is
- * on its way to any of them at a given moment. One that receives nothing is soon further behind.
+ * Replicas whose logs differ by at most this many records count as equal, since about as many are in
+ * flight to any of them at a given moment. A replica that receives nothing soon falls further behind.
  */
 const SIMILAR_POSITION_RECORDS = 20
 
-/** Servers that stay and can still receive first, then those not far behind, then the better place. */
+/** Servers that stay and can still receive come first, then those not far behind, then those with the better location. */
 function rank(replicas: readonly Replica[]): Replica[] {
   return [...replicas].sort(
     (left, right) =>
--- a/packages/coordination/src/synchronous/primarySuspicion.ts
+++ b/packages/coordination/src/synchronous/primarySuspicion.ts
@@ -1,58 +1,61 @@
 /**
- * Decides when a silent primary is to be replaced. One host's view is not enough at first: a host
- * that is cut off from a healthy primary would replace it for everyone. So hosts tell each other
- * through the store whom they find silent, and whoever reaches the server says so. They act when those
- * who lost it outnumber those who reach it; a host that hears nobody acts later.
+ * Decides when a silent primary is to be replaced. One host's view does not suffice at first: a host
+ * that is cut off from a healthy primary would replace it for all others. Hosts therefore publish
+ * through the store which primary they get no answer from, and hosts that reach it publish a denial.
+ * They act when the hosts that lost it outnumber those that reach it; a host that receives no votes
+ * acts later.
  */
 import type { BackendServerId, Milliseconds } from '@nutmegcourse/shared'
 
 /**
- * Silence after which a host suspects. Several probes fit into it, and the longest pauses that a
- * loaded server or a lost packet causes stay below it; each millisecond more is one of failover gap.
+ * Silence after which a host suspects the primary. It covers several probes, and the longest delays
+ * that a loaded server or a lost packet causes stay below it; each additional millisecond extends the
+ * failover gap by one.
  */
 export const SUSPECT_AFTER_MILLISECONDS = 500
 
-/** A primary whose port refuses connections has no process; two refusals rule out a lost packet. */
+/** A port that refuses connections has no process behind it; two refusals rule out a lost packet. */
 export const REFUSALS_TO_SUSPECT = 2
 
-/** With this part of the entry hosts agreed, nobody's denial can outweigh them: they act at once. */
+/** If this share of the entry hosts agrees, denials cannot outweigh them, so they act at once. */
 const MAJORITY_SHARE = 0.5
 
-/** With this part, and at least so many, they act once the others have had time to deny. */
+/** If this share agrees, and at least `MINIMUM_QUORUM` hosts, they act once the others have had time to deny. */
 const QUORUM_SHARE = 0.25
 const MINIMUM_QUORUM = 2
 
-/** A vote's way to the others and a denial's way back: two changes in the store and their news. */
+/** Time for a vote to reach the others and a denial to return: two store changes and their propagation. */
 const DENIAL_WINDOW_MILLISECONDS = 200
 
 /**
- * A host that nobody joins acts by itself after this long. The others reach the primary, or can not
- * say that they do not: they are down, or the store turns them away. Moving it away from hosts that
- * reach it may cut them off from the new one, so only a host that finds no way through them acts.
+ * A host whose suspicion no other host shares acts alone after this delay. The others reach the
+ * primary, or cannot report that they do not because they are down or the store rejects them. A change
+ * may cut off hosts that reach the old primary from the new one, so the host acts only if it cannot
+ * reach the primary through them.
  */
 const SINGLE_HOST_DELAY_MILLISECONDS = 2500
 
-/** Between two writes of a database that is in use; replicas may apply them that much later too. */
+/** Longest time between two writes to a database in use; replicas may also receive them this much later. */
 const LOG_GROWTH_WINDOW_MILLISECONDS = 1000
 
-/** So long after another host reached the primary for this one, it is taken to be well. */
+/** The primary counts as healthy for this long after another host reached it on behalf of this one. */
 const REACHED_WINDOW_MILLISECONDS = 1500
 
-/** A vote counts so long after it was heard of, and is cast again in half of that time. */
+/** A vote counts for this long after it was received, and is cast again after half of that time. */
 export const VOTE_LIFETIME_MILLISECONDS = 4000
 
-/** Hosts act one after the other by rank, so that the first is mostly done before the second begins. */
+/** Hosts act one after the other by rank, so that the first has usually finished before the second starts. */
 export const RANK_PAUSE_MILLISECONDS = 120
 
 export interface PrimaryObservations {
   readonly primary: BackendServerId
-  /** How long questions to it have stayed unanswered; 0 when none has. */
+  /** How long requests to it have been unanswered; 0 if none is. */
   readonly silentMilliseconds: number
-  /** Refused connections in a row. */
+  /** Consecutive refused connections. */
   readonly refusals: number
-  /** Since a replica was last seen to receive more; infinite when none was. */
+  /** Milliseconds since a replica was last seen to receive more of the log; infinite if none was. */
   readonly logGrewAgo: number
-  /** Since another host last reached it for this one; infinite when none did. */
+  /** Milliseconds since another host last reached it on behalf of this one; infinite if none did. */
   readonly reachedThroughOthersAgo: number
 }
 
@@ -69,17 +72,17 @@
   #suspectedSince = 0
   readonly #votes = new Map<string, Vote>()
 
-  /** Another host finds the server silent. */
+  /** Records that another host gets no answer from the server. */
   heardVote(host: string, primary: BackendServerId, now: Milliseconds): void {
     this.#votes.set(host, { primary, at: now, reaches: false })
   }
 
-  /** Another host reaches the server. */
+  /** Records that another host reaches the server. */
   heardDenial(host: string, primary: BackendServerId, now: Milliseconds): void {
     this.#votes.set(host, { primary, at: now, reaches: true })
   }
 
-  /** Whether some host lately found the server silent. */
+  /** Whether another host has voted against the server within the lifetime of a vote. */
   isAccused(primary: BackendServerId, now: Milliseconds): boolean {
     return this.#count(primary, false, now) > 0
   }
@@ -88,7 +91,7 @@
     this.#votes.delete(host)
   }
 
-  /** `rank` is this host's place among the hosts for this service; `hosts` counts them all. */
+  /** `rank` is this host's position among the hosts for this service; `hosts` is their number. */
   advise(
     observations: PrimaryObservations,
     hosts: number,
@@ -106,9 +109,9 @@
     const suspectedFor = now - this.#suspectedSince
     const suspects = 1 + this.#count(observations.primary, false, now)
     if (suspects >= hosts * MAJORITY_SHARE) return suspectedFor >= rankDelay(rank) ? 'act' : 'vote'
-    // It serves hosts that may be unable to say so, as when they are cut off from the store.
+    // The primary serves hosts that may be unable to publish a denial, being cut off from the store.
     if (observations.logGrewAgo < LOG_GROWTH_WINDOW_MILLISECONDS) return 'vote'
-    // Moving it would take it away from more hosts than it would come back to.
+    // At least as many hosts reach the primary as have lost it, so a change would not help on balance.
     if (this.#count(observations.primary, true, now) >= suspects) return 'vote'
     if (suspects >= quorum(hosts)) {
       return suspectedFor >= DENIAL_WINDOW_MILLISECONDS + rankDelay(rank) ? 'act' : 'vote'
--- a/packages/coordination/src/synchronous/serviceOwners.ts
+++ b/packages/coordination/src/synchronous/serviceOwners.ts
@@ -1,15 +1,16 @@
 /**
- * Which entry hosts hold connections to the backend servers of a service, where there are more hosts
- * than connections. The others hand their statements to one of them. Every host works out the same
- * owners from the same list, and a host that comes or goes moves few of them (rendezvous hashing).
+ * Plans which entry hosts hold connections to the backend servers of a service when there are more
+ * hosts than connections. The other hosts relay their statements to one of these owners. Every host
+ * computes the same owners from the same list, and a host that joins or leaves changes few of them
+ * (rendezvous hashing).
  */
 import { mixHashes, nameHash } from '../stableHash.js'
 import type { HostRecord } from './changeRecord.js'
 
 export interface OwnerPlan {
-  /** In the order of the draw. */
+  /** In the order of assignment: zone by zone in turn. */
   readonly owners: readonly string[]
-  /** All hosts, as they were drawn. */
+  /** All hosts, by descending rendezvous score. */
   readonly ranked: readonly string[]
   readonly hosts: ReadonlyMap<string, HostRecord>
 }
@@ -17,15 +18,16 @@
 const HASH_RANGE = 2 ** 32
 
 /**
- * A host with twice the processor is drawn twice as often: owners work for others, and the weakest
- * hosts have less than a quarter of the strongest ones' processor.
+ * Weighted rendezvous hashing: a host with twice the processor is chosen twice as often, since owners
+ * work for other hosts, and the weakest hosts have less than a quarter of the processor of the
+ * strongest ones.
  */
 function rendezvousScore(host: string, service: string, weight: number): number {
   const hash = mixHashes(nameHash(host), nameHash(service))
   return -weight / Math.log((hash + 1) / (HASH_RANGE + 1))
 }
 
-/** Draws `count` owners, zone by zone in turn, so that most callers find one near them. */
+/** Chooses `count` owners, zone by zone in turn, so that most callers have one nearby. */
 export function planOwners(
   service: string,
   hosts: ReadonlyMap<string, HostRecord>,
@@ -46,7 +48,7 @@
   return { owners, ranked, hosts }
 }
 
-/** How far a host is from a place: in its zone, in its region, or past the link. */
+/** Distance of a host from a location: 0 in the same zone, 1 in the same region, 2 in another region. */
 export function hostDistance(
   record: HostRecord | undefined,
   place: Pick<HostRecord, 'zone' | 'region'>,
@@ -56,9 +58,10 @@
 }
 
 /**
- * Whom a host asks, in order: owners in its zone, in its region, past the link; then the hosts of its
- * zone that come before it in the draw, which serve in an owner's place when none can be reached. The
- * first of them asks nobody: asking each other, all of a zone took connections in the owner's place.
+ * The hosts that a host asks, in order: owners in its zone, in its region and in other regions, then
+ * the hosts of its zone that rank before it, which act as substitutes when no owner is reachable. The
+ * first substitute asks no other: when hosts asked each other, all hosts of a zone opened connections in
+ * the owner's place.
  */
 export function ownersFrom(plan: OwnerPlan, self: string, place: HostRecord): string[] {
   const { owners, ranked, hosts } = plan
@@ -72,8 +75,8 @@
 
 /**
  * The owners of one customer's connections in the order in which every host of a region asks them, so that the
- * connections stand in as few places as possible. Owners of the region come first: its hosts are near enough to each
- * other, while the link between regions is slow.
+ * connections are held by as few hosts as possible. Owners of the region come first: its hosts are near enough to
+ * each other, while the link between regions is slow.
  */
 export function ownersForCustomer(
   { owners, hosts }: OwnerPlan,
@@ -81,14 +84,11 @@
   customer: string,
   place: Pick<HostRecord, 'region'>,
 ): string[] {
-  const regionDistance = (host: string): number =>
-    hosts.get(host)?.region === place.region ? 0 : 1
+  const isFar = (host: string): number => (hosts.get(host)?.region === place.region ? 0 : 1)
   const subject = `${service} ${customer}`
-  const score = (host: string): number =>
+  const draw = (host: string): number =>
     rendezvousScore(host, subject, hosts.get(host)?.weight ?? 1)
-  return [...owners].sort(
-    (left, right) => regionDistance(left) - regionDistance(right) || score(right) - score(left),
-  )
+  return [...owners].sort((left, right) => isFar(left) - isFar(right) || draw(right) - draw(left))
 }
 
 function groupByZone(
--- a/packages/coordination/src/synchronous/zoneFollowers.ts
+++ b/packages/coordination/src/synchronous/zoneFollowers.ts
@@ -1,19 +1,19 @@
 /**
- * Which hosts of an availability zone watch the store for the others. Each change ends every watch at the store, so
- * with a watch of each host the calls grow as hosts times changes.
+ * Plans which hosts of an availability zone watch the store and serve the change feed to the others. Each change ends
+ * every watch at the store, so if every host watched, the number of calls would grow as hosts times changes.
  */
 import { mixHashes, nameHash } from '../stableHash.js'
 import type { HostRecord } from './changeRecord.js'
 
-/** In a smaller zone each host watches the store itself, which costs few calls. */
+/** In a smaller zone every host watches the store itself, which takes few calls. */
 const MINIMUM_HOSTS = 6
 
-/** Hosts of a zone that are asked, in order, before the store is. */
+/** Number of hosts of a zone that are asked, in order, before the store. */
 const FOLLOWER_COUNT = 3
 
 /**
- * The hosts of a zone through which the others watch the store, in order: the strongest first, since forwarding
- * costs processor time and bytes. Every host works out the same from the same records.
+ * The hosts of a zone that forward store changes to the others, in order: the strongest first, since forwarding
+ * costs processor time and bandwidth. Every host computes the same order from the same records.
  */
 export function planFollowers(
   zone: string,
@@ -28,7 +28,7 @@
     .map(([host]) => host)
 }
 
-/** Whom one host asks: the followers before it in the order. The first watches the store itself. */
+/** The followers that one host asks: those before it in the order. The first one watches the store itself. */
 export function followersBefore(followers: readonly string[], self: string): readonly string[] {
   const selfIndex = followers.indexOf(self)
   return selfIndex < 0 ? followers : followers.slice(0, selfIndex)
--- a/packages/coordination/src/watchers.ts
+++ b/packages/coordination/src/watchers.ts
@@ -1,6 +1,7 @@
 /**
- * Who watches a database: a few live hosts, by rendezvous hash, so that every host works out the
- * same from the same members and one host's going moves only what it watched.
+ * Chooses the hosts that watch a database: a few live ones, by rendezvous hash, so that every host
+ * computes the same watchers from the same members, and a host that leaves moves only the databases
+ * that it watched.
  */
 import type { Watcher } from './failoverMessages.js'
 import type { AvailabilityZoneId, DatabaseId, RegionId } from '@nutmegcourse/shared'
@@ -37,10 +38,10 @@
   }
 
   /**
-   * Watchers stand in the zones of the database's servers where hosts live there, one a zone: they
-   * see what the servers see when a zone is cut off, and their questions stay off the paid link.
-   * Other zones of the same regions come next, then the rest; only then a second of a zone.
-   * Ordered by who tries first to coordinate.
+   * Watchers are placed in the zones of the database's servers that have live hosts, one per zone:
+   * they see what the servers see when a zone is cut off, and their requests stay off the billed link
+   * between regions. Other zones of the same regions come next, then the remaining zones, and only then
+   * a second host of a zone. The result is in the order in which the watchers try to coordinate.
    */
   watchersOf(database: DatabaseId, servers: readonly ServerLocation[]): readonly Watcher[] {
     const databaseHash = stableHash(database)
@@ -61,7 +62,7 @@
     return chosen
   }
 
-  /** Adds the best of further zones, one by one; zones of the servers' regions go first. */
+  /** Adds the best host of each further zone; zones of the servers' regions go first. */
   #fill(databaseHash: number, servers: readonly ServerLocation[], chosen: ScoredCandidate[]): void {
     const regions = new Set(servers.map(server => server.region))
     const used = new Set(chosen.map(({ host }) => host.zone))
@@ -76,7 +77,7 @@
     if (chosen.length < this.#watcherCount) this.#fillFromUsedZones(databaseHash, regions, chosen)
   }
 
-  /** Too few zones are left: second hosts of zones, those of the servers' regions first. */
+  /** With too few zones left, adds second hosts of zones; those of the servers' regions go first. */
   #fillFromUsedZones(
     databaseHash: number,
     regions: ReadonlySet<RegionId>,
