--- a/packages/coordination/src/gossipCore.ts
+++ b/packages/coordination/src/gossipCore.ts
@@ -26,7 +26,8 @@
 interface Peer {
   readonly queue: NewsQueue
   sending: boolean
-  consecutiveDifferences: number
+  /** Consecutive heartbeats in which the peer's digest differed. */
+  differences: number
 }
 
 /** A comparison in progress: from the request for versions until the last missing item is fetched. */
@@ -113,7 +114,7 @@
       queue: new NewsQueue(this.#queueOptions),
       sending: false,
       // A new link is compared at its first heartbeat, as either side may have missed many items.
-      consecutiveDifferences: DIFFERENCES_BEFORE_COMPARING - 1,
+      differences: DIFFERENCES_BEFORE_COMPARING - 1,
     }
   }
 
@@ -181,12 +182,11 @@
     const peer = this.#peers.get(id)
     if (peer === undefined) return []
     if (root === this.#digest.root()) {
-      peer.consecutiveDifferences = 0
+      peer.differences = 0
       return []
     }
-    peer.consecutiveDifferences += 1
-    if (this.#comparison !== null || peer.consecutiveDifferences < DIFFERENCES_BEFORE_COMPARING)
-      return []
+    peer.differences += 1
+    if (this.#comparison !== null || peer.differences < DIFFERENCES_BEFORE_COMPARING) return []
     this.#comparison = { peer: id, fetchesLeft: 0 }
     return [{ kind: 'compare', peer: id, buckets: this.#digest.buckets() }]
   }
@@ -215,7 +215,7 @@
     if (this.#comparison?.peer !== id) return
     this.#comparison = null
     const peer = this.#peers.get(id)
-    if (peer !== undefined) peer.consecutiveDifferences = 0
+    if (peer !== undefined) peer.differences = 0
   }
 
   #versionsIn(buckets: ReadonlySet<number>): readonly HeldVersion[] {
