--- a/packages/coordination/src/newsCore.ts
+++ b/packages/coordination/src/gossipCore.ts
@@ -1,7 +1,7 @@
 /**
- * Spreads versioned items over the fleet. A new item is pushed at once to every neighbour, which
- * relays it in turn; what a push misses is found by comparing digests with a neighbour.
- * Sans-I/O: one message in, effects out.
+ * Gossips versioned items to the fleet. A new item is flooded: it is pushed at once to every neighbour,
+ * which relays it in turn. Anti-entropy, a comparison of digests with a neighbour, finds what a push
+ * missed. Sans-I/O: takes one message, returns effects.
  */
 import {
   compareVersions,
@@ -11,25 +11,26 @@
   type NewsVersion,
 } from '@nutmegcourse/protocol'
 import { assertNever, type EntryHostId } from '@nutmegcourse/shared'
-import { NewsDigest, bucketOf } from './newsDigest.js'
-import type { HeldVersion, NewsEffect, NewsMessage } from './newsMessages.js'
-import { DEFAULT_NEWS_QUEUE, NewsQueue, type NewsQueueOptions } from './newsQueue.js'
+import { GossipDigest, bucketOf } from './gossipDigest.js'
+import type { HeldVersion, NewsEffect, NewsMessage } from './gossipMessages.js'
+import { DEFAULT_GOSSIP_QUEUE, NewsQueue, type NewsQueueOptions } from './gossipQueue.js'
 
-/** Items in one message: large enough to drain a burst, small enough not to hold up a heartbeat. */
+/** Items in one message: enough to drain a burst, few enough not to delay a heartbeat. */
 const BATCH_ITEMS = 64
-const FETCH_KEYS = 256
-/** Fetched items up to so many are passed on. */
-const RELAYED_ITEMS = 16
-/** A push under way makes digests differ for a moment; only a lasting difference is worth a comparison. */
+const FETCH_BATCH_KEYS = 256
+/** Fetched items are relayed to the other neighbours if there are at most this many. */
+const RELAYED_ITEMS_LIMIT = 16
+/** A push in progress makes digests differ briefly; only a lasting difference justifies a comparison. */
 const DIFFERENCES_BEFORE_COMPARING = 2
 
 interface Peer {
   readonly queue: NewsQueue
   sending: boolean
+  /** Consecutive heartbeats in which the peer's digest differed. */
   differences: number
 }
 
-/** A comparison under way: from the question for versions until the last missing item is in. */
+/** A comparison in progress: from the request for versions until the last missing item is fetched. */
 interface Comparison {
   readonly peer: EntryHostId
   fetchesLeft: number
@@ -38,11 +39,11 @@
 export class NewsCore {
   readonly #queueOptions: NewsQueueOptions
   readonly #items = new Map<string, NewsItem>()
-  readonly #digest = new NewsDigest()
+  readonly #digest = new GossipDigest()
   readonly #peers = new Map<EntryHostId, Peer>()
   #comparison: Comparison | null = null
 
-  constructor(queueOptions: NewsQueueOptions = DEFAULT_NEWS_QUEUE) {
+  constructor(queueOptions: NewsQueueOptions = DEFAULT_GOSSIP_QUEUE) {
     this.#queueOptions = queueOptions
   }
 
@@ -65,10 +66,10 @@
 
   /** The answer to a peer's `compare`: what this host holds in the buckets that differ. */
   versionsWhereDiffering(buckets: readonly number[]): readonly HeldVersion[] {
-    return this.#versionsIn(new Set(this.#digest.differing(buckets)))
+    return this.#versionsIn(new Set(this.#digest.differingBuckets(buckets)))
   }
 
-  /** Drops an item that no longer matters; it must not be taken in again. */
+  /** Drops an item that is no longer needed; it must not be learned again afterwards. */
   forget(key: string): void {
     const item = this.#items.get(key)
     if (item === undefined) return
@@ -83,7 +84,7 @@
       case 'batchReceived':
         return this.#learn(message.items, message.peer)
       case 'fetched':
-        return this.#takeIn(message.items, message.peer)
+        return this.#receiveFetched(message.items, message.peer)
       case 'peerConnected':
         this.#peers.set(message.peer, this.#newPeer())
         return []
@@ -92,11 +93,11 @@
         this.#endComparison(message.peer)
         return []
       case 'batchTaken':
-        return this.#batchTaken(message.peer)
+        return this.#batchAcknowledged(message.peer)
       case 'rootHeard':
-        return this.#rootHeard(message.peer, message.root)
+        return this.#receiveRoot(message.peer, message.root)
       case 'compared':
-        return this.#compared(message.peer, message.versions)
+        return this.#receiveVersions(message.peer, message.versions)
       case 'fetchEnded':
         this.#fetchEnded(message.peer)
         return []
@@ -112,7 +113,7 @@
     return {
       queue: new NewsQueue(this.#queueOptions),
       sending: false,
-      // A fresh link is compared at its first heartbeat: either side may have missed a lot.
+      // A new link is compared at its first heartbeat, as either side may have missed many items.
       differences: DIFFERENCES_BEFORE_COMPARING - 1,
     }
   }
@@ -123,11 +124,12 @@
   }
 
   /**
-   * A few items are a push that ended somewhere, as at a healed cut, and go on from here. Many are a
-   * whole state that this host lacked: pushed on, a host that joins would send it to every neighbour.
+   * A few items are a push that was interrupted, for example by a network partition, and are relayed
+   * further. Many items are a whole state that this host lacked; if they were relayed, a host that
+   * joins would send the whole state to every neighbour.
    */
-  #takeIn(items: readonly NewsItem[], from: EntryHostId): readonly NewsEffect[] {
-    if (items.length <= RELAYED_ITEMS) return this.#learn(items, from)
+  #receiveFetched(items: readonly NewsItem[], from: EntryHostId): readonly NewsEffect[] {
+    if (items.length <= RELAYED_ITEMS_LIMIT) return this.#learn(items, from)
     return items.filter(item => this.#adopt(item)).map(changed)
   }
 
@@ -156,7 +158,7 @@
     return effects
   }
 
-  /** One batch at a time is under way to a peer: while it is, newer items replace older ones here. */
+  /** One batch at a time is in flight to a peer; meanwhile newer items replace older ones in the queue. */
   #sendNext(id: EntryHostId, peer: Peer): readonly NewsEffect[] {
     if (peer.sending) return []
     const items = peer.queue.take(BATCH_ITEMS)
@@ -165,7 +167,7 @@
     return [{ kind: 'sendBatch', peer: id, items }]
   }
 
-  #batchTaken(id: EntryHostId): readonly NewsEffect[] {
+  #batchAcknowledged(id: EntryHostId): readonly NewsEffect[] {
     const peer = this.#peers.get(id)
     if (peer === undefined) return []
     peer.sending = false
@@ -173,10 +175,10 @@
   }
 
   /**
-   * One comparison at a time, and each side takes what it lacks itself: a host that has just begun
-   * differs from all its neighbours, and would get the whole state from every one of them.
+   * Runs one comparison at a time, and each side fetches what it lacks. A host that has just started
+   * differs from all its neighbours and would otherwise fetch the whole state from each of them.
    */
-  #rootHeard(id: EntryHostId, root: number): readonly NewsEffect[] {
+  #receiveRoot(id: EntryHostId, root: number): readonly NewsEffect[] {
     const peer = this.#peers.get(id)
     if (peer === undefined) return []
     if (root === this.#digest.root()) {
@@ -189,10 +191,10 @@
     return [{ kind: 'compare', peer: id, buckets: this.#digest.buckets() }]
   }
 
-  #compared(id: EntryHostId, versions: readonly HeldVersion[]): readonly NewsEffect[] {
+  #receiveVersions(id: EntryHostId, versions: readonly HeldVersion[]): readonly NewsEffect[] {
     if (this.#comparison?.peer !== id) return []
-    const wanted = versions.filter(([key, version]) => this.#isNewer(key, version))
-    const effects = fetches(id, wanted)
+    const missing = versions.filter(([key, version]) => this.#isNewer(key, version))
+    const effects = fetches(id, missing)
     this.#comparison.fetchesLeft = effects.length
     if (effects.length === 0) this.#endComparison(id)
     return effects
@@ -227,11 +229,11 @@
 
 const changed = (item: NewsItem): NewsEffect => ({ kind: 'changed', item })
 
-function fetches(peer: EntryHostId, wanted: readonly HeldVersion[]): readonly NewsEffect[] {
-  const keys = wanted.map(([key]) => key)
+function fetches(peer: EntryHostId, missing: readonly HeldVersion[]): readonly NewsEffect[] {
+  const keys = missing.map(([key]) => key)
   const effects: NewsEffect[] = []
-  for (let start = 0; start < keys.length; start += FETCH_KEYS) {
-    effects.push({ kind: 'fetch', peer, keys: keys.slice(start, start + FETCH_KEYS) })
+  for (let start = 0; start < keys.length; start += FETCH_BATCH_KEYS) {
+    effects.push({ kind: 'fetch', peer, keys: keys.slice(start, start + FETCH_BATCH_KEYS) })
   }
   return effects
 }
