--- a/packages/transport/__tests__/jsonRpcConnection.spec.ts
+++ b/packages/transport/__tests__/jsonRpcConnection.spec.ts
@@ -32,7 +32,7 @@
     { method: 'drop', outcome: 'connectionLost' },
   ] as const
   for (const { method, outcome } of cases) {
-    it(`tells ${outcome} for ${method}`, async () => {
+    it(`resolves a request to ${method} with the outcome ${outcome}`, async () => {
       const connection = (await openJsonRpc('127.0.0.1', port, {}, 1000))._unsafeUnwrap()
       const result = await connection.request(method, { value: 7 }, 50)
       connection.close()
@@ -45,7 +45,7 @@
     })
   }
 
-  it('tells a refused connection apart from a lost one', async () => {
+  it('distinguishes a refused connection from a lost one', async () => {
     const closed = await listen('127.0.0.1', 0, () => undefined)
     closed.server.close()
     const result = await openJsonRpc('127.0.0.1', closed.port, {}, 1000)
--- a/packages/transport/src/controlConnection.ts
+++ b/packages/transport/src/controlConnection.ts
@@ -1,4 +1,4 @@
-/** A connection over which a backend server is asked about its log and told to change its role. */
+/** A connection that queries a backend server's log position and orders changes of its role. */
 import pg from 'pg'
 import { ResultAsync, errAsync, okAsync } from 'neverthrow'
 import {
@@ -17,19 +17,19 @@
 const { Client, DatabaseError } = pg
 type Client = pg.Client
 
-/** The `remote` error's code when the server is fenced at a newer term. */
+/** Code of the `remote` error when the server is fenced at a newer term. */
 export const STALE_TERM_CODE = 1
-/** The `remote` error's code for every other refusal of a backend server. */
+/** Code of the `remote` error for every other refusal by a backend server. */
 export const SERVER_ERROR_CODE = 2
 
-export interface ControlConnectionPlace {
+export interface ControlConnectionOptions {
   readonly address: string
   readonly port: number
   readonly database: string
   readonly user: string
 }
 
-/** One question at a time is sent; further ones wait behind it in order. */
+/** Sends one statement at a time; further statements are queued in order. */
 export class ControlConnection {
   readonly #client: Client
   #closed = false
@@ -45,14 +45,14 @@
   }
 
   static open(
-    place: ControlConnectionPlace,
+    options: ControlConnectionOptions,
     connectTimeoutMilliseconds: number,
   ): ResultAsync<ControlConnection, TransportError> {
     const client = new Client({
-      host: place.address,
-      port: place.port,
-      database: place.database,
-      user: place.user,
+      host: options.address,
+      port: options.port,
+      database: options.database,
+      user: options.user,
       connectionTimeoutMillis: connectTimeoutMilliseconds,
       application_name: 'nutmegcourse-control',
     })
@@ -64,21 +64,21 @@
     return this.#closed
   }
 
-  /** Calls `listener` once when the connection ends, by either side. */
+  /** Calls `listener` once when either side closes the connection. */
   onClose(listener: () => void): void {
     this.#client.once('end', listener)
   }
 
   position(timeoutMilliseconds: number): ResultAsync<PositionReport, TransportError> {
-    return this.#ask(POSITION_STATEMENT, timeoutMilliseconds)
+    return this.#query(POSITION_STATEMENT, timeoutMilliseconds)
   }
 
   fence(term: Term, timeoutMilliseconds: number): ResultAsync<PositionReport, TransportError> {
-    return this.#ask(fenceStatement(term), timeoutMilliseconds)
+    return this.#query(fenceStatement(term), timeoutMilliseconds)
   }
 
   promote(term: Term, timeoutMilliseconds: number): ResultAsync<PositionReport, TransportError> {
-    return this.#ask(promoteStatement(term), timeoutMilliseconds)
+    return this.#query(promoteStatement(term), timeoutMilliseconds)
   }
 
   follow(
@@ -87,7 +87,7 @@
     port: number,
     timeoutMilliseconds: number,
   ): ResultAsync<PositionReport, TransportError> {
-    return this.#ask(followStatement(term, address, port), timeoutMilliseconds)
+    return this.#query(followStatement(term, address, port), timeoutMilliseconds)
   }
 
   close(): void {
@@ -95,8 +95,8 @@
     this.#client.end().catch(() => undefined)
   }
 
-  /** An unanswered question ends the connection, so that its late answer is never taken for another's. */
-  #ask(
+  /** Closes the connection on a time-out, so that a late answer is never matched to a later statement. */
+  #query(
     statement: string,
     timeoutMilliseconds: number,
   ): ResultAsync<PositionReport, TransportError> {
@@ -104,7 +104,7 @@
     return ResultAsync.fromPromise(withTimeout(answer, timeoutMilliseconds), error =>
       this.#describeError(error),
     ).andThen(result => {
-      const report = readPositionReport((result.rows[0] ?? []).map(textOf))
+      const report = readPositionReport((result.rows[0] ?? []).map(toText))
       if (report !== null) return okAsync(report)
       return errAsync<PositionReport, TransportError>({
         kind: 'remote',
@@ -126,13 +126,13 @@
   }
 }
 
-/** pg's own word for an attempt that took longer than it was given. */
+/** Matches pg's error message for a connection attempt that timed out. */
 const CONNECT_TIMEOUT_MESSAGE = /timeout/i
 
 /**
- * No question was sent yet, so that an attempt that ended without a word from the server means the
- * same wherever it ended: behind a relay or a balancer a dead process shows as a connection that is
- * accepted and closed, not as a refused one. An error that the server itself sent shows it alive.
+ * Treats every attempt that ended without a message from the server as refused, since no statement
+ * was sent yet: behind a relay or a load balancer, a connection to a dead process is accepted and
+ * then closed instead of refused. An error sent by the server itself proves that it is alive.
  */
 function describeOpenError(error: unknown): TransportError {
   const detail = error instanceof Error ? error.message : String(error)
@@ -141,8 +141,8 @@
   return { kind, detail }
 }
 
-/** Numbers arrive as such when the column's type says so, as text otherwise. */
-function textOf(value: unknown): string | null {
+/** pg parses values of numeric column types to numbers and leaves others as text. */
+function toText(value: unknown): string | null {
   if (typeof value === 'string') return value
   return typeof value === 'number' || typeof value === 'bigint' ? String(value) : null
 }
--- a/packages/transport/src/hostListClient.ts
+++ b/packages/transport/src/hostListClient.ts
@@ -1,15 +1,15 @@
-/** The platform's lagging list of live and leaving hosts. */
+/** Client of the platform's list of live and leaving hosts, which lags behind the actual state. */
 import type { ResultAsync } from 'neverthrow'
 import type { HostListParams, HostListResult } from '@nutmegcourse/protocol'
-import { ReconnectingClient, type ServicePlace, type Traffic } from './reconnectingClient.js'
+import { ReconnectingClient, type ServiceEndpoint, type Traffic } from './reconnectingClient.js'
 import type { TransportError } from './transportError.js'
 
 export class HostListClient {
   readonly #client: ReconnectingClient
   readonly #timeoutMilliseconds: number
 
-  constructor(place: ServicePlace, timeoutMilliseconds: number) {
-    this.#client = new ReconnectingClient(place, timeoutMilliseconds)
+  constructor(endpoint: ServiceEndpoint, timeoutMilliseconds: number) {
+    this.#client = new ReconnectingClient(endpoint, timeoutMilliseconds)
     this.#timeoutMilliseconds = timeoutMilliseconds
   }
 
--- a/packages/transport/src/jsonRpcConnection.ts
+++ b/packages/transport/src/jsonRpcConnection.ts
@@ -1,4 +1,4 @@
-/** JSON-RPC 2.0 in both directions over one TCP connection, one JSON value a line. */
+/** JSON-RPC 2.0 in both directions over one TCP connection, as newline-delimited JSON. */
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net'
 import {
   createJSONRPCErrorResponse,
@@ -11,15 +11,15 @@
 import split2 from 'split2'
 import type { TransportError } from './transportError.js'
 
-/** Longer lines end the connection: a value of the store is at most a megabyte. */
+/** A longer line closes the connection. Values of the store are at most 1 MB. */
 const MAXIMUM_LINE_BYTES = 4 * 1024 * 1024
 
 export type RpcHandler = (params: unknown) => unknown
 
-/** Handlers by method name. One that throws or rejects answers with an error. */
+/** Handlers by method name. A handler that throws or rejects produces an error response. */
 export type RpcHandlers = Readonly<Record<string, RpcHandler>>
 
-/** Made up on this side when no answer came; within JSON-RPC's range for implementations. */
+/** Generated locally when no answer arrives; from JSON-RPC's range for implementation-defined errors. */
 const ANSWER_TIMEOUT_CODE = -32099
 
 class ConnectTimeout extends Error {}
@@ -57,7 +57,7 @@
       })
   }
 
-  /** Bytes accepted for sending that the other side has not taken yet. */
+  /** Bytes queued for sending that are not yet written to the network. */
   get unsentBytes(): number {
     return this.#socket.writableLength
   }
@@ -66,7 +66,7 @@
     return this.#closed
   }
 
-  /** Traffic on this connection since it was opened, both ways, in bytes. */
+  /** Bytes sent and received since the connection was opened. */
   get traffic(): { readonly sent: number; readonly received: number } {
     return { sent: this.#socket.bytesWritten, received: this.#socket.bytesRead }
   }
@@ -76,7 +76,7 @@
     else this.#socket.once('close', listener)
   }
 
-  /** Sends a request. `timeoutMilliseconds` bounds the wait for its answer. */
+  /** Sends a request and waits at most `timeoutMilliseconds` for its answer. */
   request<Answer>(
     method: string,
     params: unknown,
@@ -92,7 +92,7 @@
     )
   }
 
-  /** Sends a message that wants no answer; it is lost with the connection. */
+  /** Sends a message without an answer. It is lost if the connection breaks. */
   notify(method: string, params: unknown): void {
     this.#peer.notify(method, params)
   }
@@ -141,13 +141,13 @@
   )
 }
 
-/** Opens a plain TCP connection, with a bound on how long the attempt may take. */
+/** Opens a plain TCP connection, with a time-out for the attempt. */
 export function openSocket(
   address: string,
   port: number,
   connectTimeoutMilliseconds: number,
 ): ResultAsync<Socket, TransportError> {
-  const place = `${address}:${port}`
+  const endpoint = `${address}:${port}`
   const attempt = new Promise<Socket>((resolve, reject) => {
     const socket = connect({ host: address, port, noDelay: true })
     const timer = setTimeout(() => {
@@ -167,12 +167,12 @@
   })
   return ResultAsync.fromPromise(attempt, (error): TransportError =>
     error instanceof ConnectTimeout
-      ? { kind: 'connectTimeout', detail: place }
-      : { kind: 'connectRefused', detail: place },
+      ? { kind: 'connectTimeout', detail: endpoint }
+      : { kind: 'connectRefused', detail: endpoint },
   )
 }
 
-/** Listens on an address and hands over each accepted connection. Port 0 picks a free one. */
+/** Listens on an address and calls `accept` with each accepted connection. Port 0 picks a free port. */
 export async function listen(
   address: string,
   port: number,
--- a/packages/transport/src/reconnectingClient.ts
+++ b/packages/transport/src/reconnectingClient.ts
@@ -1,9 +1,9 @@
-/** Requests to one place, over a connection that is opened when first needed and again after it broke. */
+/** JSON-RPC client of one endpoint that opens its connection on demand and reopens it after a loss. */
 import { errAsync, type ResultAsync } from 'neverthrow'
 import { openJsonRpc, type JsonRpcConnection, type RpcHandlers } from './jsonRpcConnection.js'
 import type { TransportError } from './transportError.js'
 
-export interface ServicePlace {
+export interface ServiceEndpoint {
   readonly address: string
   readonly port: number
 }
@@ -16,7 +16,7 @@
 }
 
 export class ReconnectingClient {
-  readonly #place: ServicePlace
+  readonly #endpoint: ServiceEndpoint
   readonly #connectTimeoutMilliseconds: number
   readonly #handlers: RpcHandlers
   #connection: JsonRpcConnection | null = null
@@ -24,13 +24,17 @@
   #closedTraffic: Traffic = { sent: 0, received: 0 }
   #closed = false
 
-  constructor(place: ServicePlace, connectTimeoutMilliseconds: number, handlers: RpcHandlers = {}) {
-    this.#place = place
+  constructor(
+    endpoint: ServiceEndpoint,
+    connectTimeoutMilliseconds: number,
+    handlers: RpcHandlers = {},
+  ) {
+    this.#endpoint = endpoint
     this.#connectTimeoutMilliseconds = connectTimeoutMilliseconds
     this.#handlers = handlers
   }
 
-  /** Bytes over all connections so far. */
+  /** Bytes over all connections since the client was created. */
   get traffic(): Traffic {
     const open = this.#connection?.traffic ?? { sent: 0, received: 0 }
     return {
@@ -46,8 +50,8 @@
   ): ResultAsync<Answer, TransportError> {
     return this.#usableConnection().andThen(connection =>
       connection.request<Answer>(method, params, timeoutMilliseconds).mapErr(error => {
-        // A network partition swallows bytes without closing anything: the connection then stays
-        // silent for good, also after the partition healed. A fresh one finds the way again.
+        // A network partition drops packets without closing the connection, which may then stay
+        // unresponsive even after the partition has healed. A new connection works again.
         if (error.kind === 'answerTimeout') connection.close()
         return error
       }),
@@ -63,12 +67,12 @@
     if (this.#closed) return errAsync({ kind: 'connectionLost', detail: 'client closed' })
     if (this.#opening !== null) return this.#opening
     const opening = openJsonRpc(
-      this.#place.address,
-      this.#place.port,
+      this.#endpoint.address,
+      this.#endpoint.port,
       this.#handlers,
       this.#connectTimeoutMilliseconds,
     )
-      .map(connection => this.#adopt(connection))
+      .map(connection => this.#handleOpened(connection))
       .mapErr(error => {
         this.#opening = null
         return error
@@ -77,16 +81,16 @@
     return opening
   }
 
-  #adopt(connection: JsonRpcConnection): JsonRpcConnection {
+  #handleOpened(connection: JsonRpcConnection): JsonRpcConnection {
     this.#connection = connection
     connection.onClose(() => {
-      this.#retire(connection)
+      this.#handleClosed(connection)
     })
     if (this.#closed) connection.close()
     return connection
   }
 
-  #retire(connection: JsonRpcConnection): void {
+  #handleClosed(connection: JsonRpcConnection): void {
     const { sent, received } = connection.traffic
     this.#closedTraffic = {
       sent: this.#closedTraffic.sent + sent,
--- a/packages/transport/src/storeClient.ts
+++ b/packages/transport/src/storeClient.ts
@@ -1,4 +1,4 @@
-/** The platform's key-value service, as an agent or nutmegcoursectl calls it. */
+/** Client of the platform's key-value service for agents and nutmegcoursectl. */
 import type { ResultAsync } from 'neverthrow'
 import type {
   StoreCompareAndSwapParams,
@@ -8,26 +8,26 @@
   StoreWatchParams,
   StoreWatchResult,
 } from '@nutmegcourse/protocol'
-import { ReconnectingClient, type ServicePlace, type Traffic } from './reconnectingClient.js'
+import { ReconnectingClient, type ServiceEndpoint, type Traffic } from './reconnectingClient.js'
 import type { TransportError } from './transportError.js'
 
-/** Tells whoever counts calls against the service's rates what each came to. */
+/** Called with the outcome of each call, so that calls can be counted against the service's rate limits. */
 export type StoreCallListener = (method: string, outcome: 'answered' | 'failed') => void
 
 export class StoreClient {
   readonly #calls: ReconnectingClient
-  /** Waiting watches have a connection of their own, so that a call that times out does not end them. */
+  /** Long-polling watches use a separate connection, so that a time-out of a call does not close it. */
   readonly #watches: ReconnectingClient
   readonly #timeoutMilliseconds: number
   readonly #onCall: StoreCallListener
 
   constructor(
-    place: ServicePlace,
+    endpoint: ServiceEndpoint,
     timeoutMilliseconds: number,
     onCall: StoreCallListener = () => undefined,
   ) {
-    this.#calls = new ReconnectingClient(place, timeoutMilliseconds)
-    this.#watches = new ReconnectingClient(place, timeoutMilliseconds)
+    this.#calls = new ReconnectingClient(endpoint, timeoutMilliseconds)
+    this.#watches = new ReconnectingClient(endpoint, timeoutMilliseconds)
     this.#timeoutMilliseconds = timeoutMilliseconds
     this.#onCall = onCall
   }
@@ -57,7 +57,7 @@
     return this.#count('list', answer)
   }
 
-  /** After a failure the swap may have taken effect: read back and look for the own attempt. */
+  /** After a failure the swap may have taken effect: read the value back to find out. */
   compareAndSwap(
     params: StoreCompareAndSwapParams,
     timeoutMilliseconds = this.#timeoutMilliseconds,
@@ -70,12 +70,12 @@
     return this.#count('compareAndSwap', answer)
   }
 
-  /** Answers at the first change, or with none after `params.waitMilliseconds`. */
+  /** Returns at the first change, or without changes after `params.waitMilliseconds`. */
   watch(params: StoreWatchParams): ResultAsync<StoreWatchResult, TransportError> {
-    const patience = params.waitMilliseconds + this.#timeoutMilliseconds
+    const answerTimeoutMilliseconds = params.waitMilliseconds + this.#timeoutMilliseconds
     return this.#count(
       'watch',
-      this.#watches.request<StoreWatchResult>('store.watch', params, patience),
+      this.#watches.request<StoreWatchResult>('store.watch', params, answerTimeoutMilliseconds),
     )
   }
 
--- a/packages/transport/src/transportError.ts
+++ b/packages/transport/src/transportError.ts
@@ -1,12 +1,12 @@
-/** Errors of the transport layer. Layers above turn these into their own. */
+/** Errors of the transport layer. Higher layers convert these to their own error types. */
 export type TransportError =
-  /** Nothing listens there; no byte was sent. */
+  /** Nothing listens at the address; no byte was sent. */
   | { readonly kind: 'connectRefused'; readonly detail: string }
-  /** No answer to the connection attempt in time; no byte was sent. */
+  /** The connection attempt timed out; no byte was sent. */
   | { readonly kind: 'connectTimeout'; readonly detail: string }
-  /** The connection broke after it stood; a request on it may have arrived. */
+  /** An established connection broke; a request on it may have arrived. */
   | { readonly kind: 'connectionLost'; readonly detail: string }
-  /** The connection stands but no answer came in time; the request may have arrived. */
+  /** No answer arrived in time on an open connection; the request may have arrived. */
   | { readonly kind: 'answerTimeout'; readonly detail: string }
-  /** The other side answered with an error of its own. */
+  /** The other side answered with an error. */
   | { readonly kind: 'remote'; readonly code: number; readonly detail: string }
