--- a/packages/proxy/__tests__/backPressure.spec.ts
+++ b/packages/proxy/__tests__/backPressure.spec.ts
@@ -13,7 +13,7 @@
   // such clients would take the memory of the entry host, and all its callers with it.
   it('holds back its backend server, not its neighbours, and gets every row in the end', () =>
     withProxy(2, async fixture => {
-      const slow = await RawCaller.ready(fixture.port)
+      const slow = await RawCaller.connect(fixture.port)
       const other = await fixture.connect()
       slow.pause()
       slow.send(query(`SELECT rows(${ROWS}, ${ROW_BYTES})`))
@@ -25,17 +25,17 @@
       const rows = slow.frames.filter(frame => frame.type === 'D')
       expect(rows.length).toEqual(ROWS)
       expect(rows.every(row => row.bytes.length === ROW_BYTES + 11)).toEqual(true)
-      slow.leave()
+      slow.disconnect()
     }))
 
   it('and sends without end is not read without end', () =>
     withProxy(1, async fixture => {
-      const caller = await RawCaller.ready(fixture.port)
+      const caller = await RawCaller.connect(fixture.port)
       const queries = Array.from({ length: 2000 }, (_, index) => query(`SELECT ${index}`))
       caller.send(...queries)
       await caller.untilReady(queries.length)
       const answers = caller.frames.filter(frame => frame.type === 'D').map(frame => frame.bytes)
       expect(answers.every((bytes, index) => bytes.includes(`SELECT ${index}`))).toEqual(true)
-      caller.leave()
+      caller.disconnect()
     }))
 })
--- a/packages/proxy/__tests__/backendStartup.spec.ts
+++ b/packages/proxy/__tests__/backendStartup.spec.ts
@@ -6,11 +6,11 @@
 
 describe('the startup of a backend connection', () => {
   const cases = [
-    { what: 'trust', frame: frameOf('R', '\0\0\0\0'), expected: 'going' },
+    { what: 'trust', frame: frameOf('R', '\0\0\0\0'), expected: 'pending' },
     { what: 'a password', frame: frameOf('R', '\0\0\0\x03'), expected: 'failed refused' },
     { what: 'a cut authentication', frame: frameOf('R', '\0'), expected: 'failed refused' },
     { what: 'a cut key', frame: frameOf('K', '\0\0\0\x01'), expected: 'failed refused' },
-    { what: 'a notice', frame: frameOf('N', 'Mhello\0\0'), expected: 'going' },
+    { what: 'a notice', frame: frameOf('N', 'Mhello\0\0'), expected: 'pending' },
     { what: 'readiness', frame: frameOf('Z', 'I'), expected: 'ready' },
     {
       what: 'too many connections',
--- a/packages/proxy/__tests__/brokenAnswers.spec.ts
+++ b/packages/proxy/__tests__/brokenAnswers.spec.ts
@@ -4,7 +4,7 @@
 import type { Refusal } from '@nutmegcourse/shared'
 import type { ProxyEffect, ProxyMessage } from '@nutmegcourse/state'
 import { ProxyFixture, WRITE_CLASS, withProxy } from './support/proxyFixture.js'
-import { RawCaller, eventually, query } from './support/rawCaller.js'
+import { RawCaller, waitUntil, query } from './support/rawCaller.js'
 
 const kindsOf = (fixture: ProxyFixture): readonly ProxyMessage['kind'][] =>
   fixture.core.messages.map(message => message.kind)
@@ -12,7 +12,7 @@
 /** Lets the core say something that its rules would not make it say here. */
 function inject(fixture: ProxyFixture, ...effects: readonly ProxyEffect[]): void {
   fixture.core.inject(effects)
-  fixture.shell.wake()
+  fixture.shell.tick()
 }
 
 describe('a held answer', () => {
@@ -21,9 +21,9 @@
   it('stays with the proxy until the core acknowledges', () =>
     withProxy(1, async fixture => {
       fixture.coreOptions.acknowledgesAtOnce = false
-      const caller = await RawCaller.ready(fixture.port, WRITE_CLASS)
+      const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       caller.send(query('INSERT a'))
-      await eventually(() => kindsOf(fixture).includes('requestRan'))
+      await waitUntil(() => kindsOf(fixture).includes('requestRan'))
       await new Promise(resolve => setTimeout(resolve, 30))
       expect(caller.types).toEqual('')
       const request = fixture.lastRequest()
@@ -31,15 +31,15 @@
       inject(fixture, { kind: 'acknowledge', request })
       await caller.untilReady()
       expect(caller.types).toEqual('CZ')
-      caller.leave()
+      caller.disconnect()
     }))
 
   it('is replaced by the refusal, with reason, SQLSTATE and when to come back', () =>
     withProxy(1, async fixture => {
       fixture.coreOptions.acknowledgesAtOnce = false
-      const caller = await RawCaller.ready(fixture.port, WRITE_CLASS)
+      const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       caller.send(query('INSERT a'))
-      await eventually(() => kindsOf(fixture).includes('requestRan'))
+      await waitUntil(() => kindsOf(fixture).includes('requestRan'))
       const refusal: Refusal = { reason: 'confirmation_timeout', retryAfterMilliseconds: 7 }
       const request = fixture.lastRequest()
       if (request === undefined) throw new Error('no request')
@@ -49,28 +49,28 @@
       for (const part of ['C40003\0', 'Mconfirmation_timeout: ', 'Hretry-after-milliseconds=7\0']) {
         expect(caller.text.includes(part)).toEqual(true)
       }
-      caller.leave()
+      caller.disconnect()
     }))
 
   it('carries the position that the primary had behind the write', () =>
     withProxy(1, async fixture => {
-      const caller = await RawCaller.ready(fixture.port, WRITE_CLASS)
+      const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       caller.send(query('INSERT a'))
       await caller.untilReady()
       const ran = fixture.core.messages.find(message => message.kind === 'requestRan')
       expect(ran?.position as unknown).toEqual({ term: 1, offset: 11 })
-      caller.leave()
+      caller.disconnect()
     }))
 
   it('has no position when the server stopped leading meanwhile', () =>
     withProxy(1, async fixture => {
       fixture.backend.role = 'replica'
-      const caller = await RawCaller.ready(fixture.port, WRITE_CLASS)
+      const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       caller.send(query('INSERT a'))
       await caller.untilReady()
       const ran = fixture.core.messages.find(message => message.kind === 'requestRan')
       expect(ran?.position).toEqual(null)
-      caller.leave()
+      caller.disconnect()
     }))
 })
 
@@ -84,7 +84,7 @@
     // completed by anything else: the caller gets an error, or no more bytes where a row is cut.
     it(`${what}: an error or the end for this caller, and the next is served`, () =>
       withProxy(1, async fixture => {
-        const caller = await RawCaller.ready(fixture.port)
+        const caller = await RawCaller.connect(fixture.port)
         caller.send(query(sql))
         await caller.until(() => caller.closed || caller.types.includes('Z'))
         expect(caller.closed ? 'closed' : caller.types).toEqual(ends)
@@ -92,11 +92,11 @@
         expect(broken?.partlyAnswered).toEqual(partlyAnswered)
         const kinds = kindsOf(fixture)
         expect(kinds.indexOf('connectionClosed') < kinds.indexOf('requestBroken')).toEqual(true)
-        const next = await RawCaller.ready(fixture.port)
+        const next = await RawCaller.connect(fixture.port)
         next.send(query('SELECT 1'))
         await next.untilReady()
         expect(next.types).toEqual('TDCZ')
-        for (const each of [caller, next]) each.leave()
+        for (const each of [caller, next]) each.disconnect()
       }))
   }
 })
@@ -106,23 +106,23 @@
   // If that went back to the pool, the next foreman's statement would land inside it.
   it('is rolled back with its connection when its caller leaves', () =>
     withProxy(1, async fixture => {
-      const caller = await RawCaller.ready(fixture.port, WRITE_CLASS)
+      const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       caller.send(query('BEGIN'))
       await caller.untilReady()
-      caller.leave()
-      await eventually(() => kindsOf(fixture).includes('connectionClosed'))
-      const next = await RawCaller.ready(fixture.port, WRITE_CLASS)
+      caller.disconnect()
+      await waitUntil(() => kindsOf(fixture).includes('connectionClosed'))
+      const next = await RawCaller.connect(fixture.port, WRITE_CLASS)
       next.send(query('SELECT 1'))
       await next.untilReady()
       expect(next.frames.at(-1)?.bytes.toString('latin1', 5)).toEqual('I')
-      next.leave()
+      next.disconnect()
     }))
 
   // The backend server dies between two statements of a transaction. Its client does not know, and sends
   // the next statement. If that ran elsewhere by itself, half of the transaction would last.
   it('that was lost answers as a failed one until it is rolled back', () =>
     withProxy(1, async fixture => {
-      const caller = await RawCaller.ready(fixture.port, WRITE_CLASS)
+      const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       const steps: readonly (readonly [string, string, string])[] = [
         ['BEGIN', 'T', 'CZ'],
         ['break_silently', 'E', 'EZ'],
@@ -138,34 +138,34 @@
         expect([sql, caller.frames.at(-1)?.bytes.toString('latin1', 5)]).toEqual([sql, status])
       }
       expect(fixture.backend.inserted).toEqual([])
-      caller.leave()
+      caller.disconnect()
     }))
 
   it('that was lost never answers its COMMIT as a success', () =>
     withProxy(1, async fixture => {
-      const caller = await RawCaller.ready(fixture.port, WRITE_CLASS)
+      const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       caller.send(query('BEGIN'), query('INSERT a'))
       await caller.untilReady(2)
       fixture.backend.dropSessions()
-      await eventually(() => kindsOf(fixture).includes('connectionClosed'))
+      await waitUntil(() => kindsOf(fixture).includes('connectionClosed'))
       caller.frames.length = 0
       caller.send(query('COMMIT'))
       await caller.untilReady()
       expect(caller.types).toEqual('EZ')
       expect(caller.text.includes('C40001\0')).toEqual(true)
-      caller.leave()
+      caller.disconnect()
     }))
 
   it('holds the answer of its end, and of nothing before', () =>
     withProxy(1, async fixture => {
       fixture.coreOptions.acknowledgesAtOnce = false
-      const caller = await RawCaller.ready(fixture.port, WRITE_CLASS)
+      const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       caller.send(query('BEGIN'), query('INSERT a'))
       await caller.untilReady(2)
       caller.send(query('COMMIT'))
-      await eventually(() => kindsOf(fixture).filter(kind => kind === 'requestRan').length === 3)
+      await waitUntil(() => kindsOf(fixture).filter(kind => kind === 'requestRan').length === 3)
       await new Promise(resolve => setTimeout(resolve, 30))
       expect(caller.types).toEqual('CZCZ')
-      caller.leave()
+      caller.disconnect()
     }))
 })
--- a/packages/proxy/__tests__/callersApart.spec.ts
+++ b/packages/proxy/__tests__/callerIsolation.spec.ts
@@ -3,7 +3,7 @@
 import { expect } from 'earl'
 import { SeededRandom } from '@nutmegcourse/shared'
 import { WRITE_CLASS, withProxy } from './support/proxyFixture.js'
-import { RawCaller, eventually, query } from './support/rawCaller.js'
+import { RawCaller, waitUntil, query } from './support/rawCaller.js'
 
 const CALLERS = 40
 const ROUNDS = 15
@@ -42,10 +42,10 @@
         }
       })
       const leavers = Array.from({ length: 10 }, async (_, index) => {
-        const caller = await RawCaller.ready(fixture.port)
+        const caller = await RawCaller.connect(fixture.port)
         caller.send(query('BEGIN'), query(`SELECT leaver ${index}`), query('SELECT rows(500, 500)'))
         await new Promise(resolve => setTimeout(resolve, index))
-        caller.leave()
+        caller.disconnect()
       })
       await Promise.all([...work, ...leavers])
       expect(fixture.backend.connections <= 4).toEqual(true)
@@ -57,7 +57,7 @@
     withProxy(1, async fixture => {
       const client = await fixture.connect()
       const sleeping = client.query('SELECT pg_sleep(5000)')
-      await eventually(() => fixture.backend.queries.some(sql => sql.includes('pg_sleep')))
+      await waitUntil(() => fixture.backend.queries.some(sql => sql.includes('pg_sleep')))
       const { processID, secretKey } = client as unknown as Record<string, number>
       fixture.shell.cancel({ processId: processID ?? 0, secret: secretKey ?? 0 })
       await expect(sleeping).toBeRejectedWith(/canceling statement/)
@@ -77,9 +77,9 @@
     withProxy(1, async fixture => {
       const [first, second] = [await fixture.connect(), await fixture.connect()]
       const running = first.query('SELECT pg_sleep(100)')
-      await eventually(() => fixture.backend.queries.some(sql => sql.includes('pg_sleep')))
+      await waitUntil(() => fixture.backend.queries.some(sql => sql.includes('pg_sleep')))
       const waiting = second.query('SELECT 2')
-      await eventually(
+      await waitUntil(
         () => fixture.core.messages.filter(each => each.kind === 'requestArrived').length === 2,
       )
       const { processID, secretKey } = second as unknown as Record<string, number>
@@ -95,7 +95,7 @@
       fixture.backend.cancelDelayMilliseconds = 60
       const [first, second] = [await fixture.connect(), await fixture.connect()]
       const ending = first.query('SELECT pg_sleep(30)')
-      await eventually(() => fixture.backend.queries.some(sql => sql.includes('pg_sleep')))
+      await waitUntil(() => fixture.backend.queries.some(sql => sql.includes('pg_sleep')))
       const { processID, secretKey } = first as unknown as Record<string, number>
       fixture.shell.cancel({ processId: processID ?? 0, secret: secretKey ?? 0 })
       const next = second.query('SELECT pg_sleep(120)')
--- a/packages/proxy/__tests__/hostileInput.spec.ts
+++ b/packages/proxy/__tests__/hostileInput.spec.ts
@@ -52,7 +52,7 @@
     it(`${what} ends that caller's connection with ${code}`, () =>
       withProxy(1, async fixture => {
         const other = await fixture.connect()
-        const caller = await RawCaller.ready(fixture.port)
+        const caller = await RawCaller.connect(fixture.port)
         caller.send(bytes)
         await caller.until(() => caller.closed)
         expect(caller.types).toEqual('E')
@@ -106,10 +106,10 @@
       let round = 0
       await fc.assert(
         fc.asyncProperty(fc.array(frames, { maxLength: 12 }), fc.nat(400), async (batch, kept) => {
-          const caller = await RawCaller.ready(fixture.port)
+          const caller = await RawCaller.connect(fixture.port)
           caller.send(Buffer.concat(batch).subarray(0, kept))
           await new Promise(resolve => setTimeout(resolve, 2))
-          caller.leave()
+          caller.disconnect()
           round += 1
           const { rows } = await other.query('SELECT $1', [`own ${round}`])
           expect(rows as unknown).toEqual([{ value: `own ${round}` }])
--- a/packages/proxy/__tests__/pipelining.spec.ts
+++ b/packages/proxy/__tests__/pipelining.spec.ts
@@ -54,7 +54,7 @@
     for (const className of ['lookup', WRITE_CLASS]) {
       it(`${what}, class ${className}, twice on one pooled connection`, () =>
         withProxy(1, async fixture => {
-          const caller = await RawCaller.ready(fixture.port, className)
+          const caller = await RawCaller.connect(fixture.port, className)
           caller.send(...send)
           await caller.untilReady(ready)
           expect(caller.types).toEqual(types)
@@ -63,14 +63,14 @@
           caller.send(...send)
           await caller.untilReady(ready)
           expect(caller.types).toEqual(types)
-          caller.leave()
+          caller.disconnect()
         }))
     }
   }
 
   it('answers each Flush before the caller sends more', () =>
     withProxy(1, async fixture => {
-      const caller = await RawCaller.ready(fixture.port, WRITE_CLASS)
+      const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       caller.send(parse('s', 'SELECT x'), describeStatement('s'), flush())
       await caller.until(() => caller.types === '1tn')
       caller.send(bind('s'), execute(), flush())
@@ -78,29 +78,29 @@
       caller.send(sync())
       await caller.untilReady()
       expect(caller.types).toEqual('1tn2DCZ')
-      caller.leave()
+      caller.disconnect()
     }))
 
   it('finds a statement again that an earlier request prepared without a name', () =>
     withProxy(2, async fixture => {
-      const caller = await RawCaller.ready(fixture.port)
+      const caller = await RawCaller.connect(fixture.port)
       caller.send(parse('', 'SELECT x'), sync())
       await caller.untilReady()
       caller.send(bind(''), execute(), sync())
       await caller.untilReady(2)
       expect(caller.types).toEqual('1Z2DCZ')
-      caller.leave()
+      caller.disconnect()
     }))
 
   it('takes messages that arrive byte by byte', () =>
     withProxy(1, async fixture => {
-      const caller = await RawCaller.ready(fixture.port)
+      const caller = await RawCaller.connect(fixture.port)
       for (const byte of Buffer.concat([parse('s', 'SELECT x'), bind('s'), execute(), sync()])) {
         caller.send(Buffer.from([byte]))
         await new Promise(resolve => setImmediate(resolve))
       }
       await caller.untilReady()
       expect(caller.types).toEqual('12DCZ')
-      caller.leave()
+      caller.disconnect()
     }))
 })
--- a/packages/proxy/__tests__/queries.spec.ts
+++ b/packages/proxy/__tests__/queries.spec.ts
@@ -118,6 +118,6 @@
       await last.until(() => last.closed)
       expect(last.text.includes('too_many_callers')).toEqual(true)
       expect(valueOf(await client.query('SELECT 1'))).toEqual('SELECT 1')
-      for (const caller of more) caller.leave()
+      for (const caller of more) caller.disconnect()
     }))
 })
--- a/packages/proxy/__tests__/support/fakeBackend.ts
+++ b/packages/proxy/__tests__/support/fakeBackend.ts
@@ -37,7 +37,7 @@
   return Buffer.concat([head, body])
 }
 
-const counted = (count: number, parts: readonly Buffer[]): Buffer => {
+const withCount = (count: number, parts: readonly Buffer[]): Buffer => {
   const head = Buffer.alloc(2)
   head.writeInt16BE(count, 0)
   return Buffer.concat([head, ...parts])
@@ -49,7 +49,7 @@
   tail.writeInt16BE(-1, 10)
   return frame(
     'T',
-    counted(
+    withCount(
       names.length,
       names.flatMap(name => [Buffer.from(`${name}\0`), tail]),
     ),
@@ -57,10 +57,10 @@
 }
 
 const dataRow = (values: readonly string[]): Buffer =>
-  frame('D', counted(values.length, values.map(textField)))
+  frame('D', withCount(values.length, values.map(textField)))
 
 /** Statements that have no columns, and that must not run when they are only described. */
-const CHANGES = /^(?:INSERT|BEGIN|COMMIT|ROLLBACK|DISCARD|SET|LISTEN)\b/
+const STATEMENTS_WITHOUT_COLUMNS = /^(?:INSERT|BEGIN|COMMIT|ROLLBACK|DISCARD|SET|LISTEN)\b/
 
 interface Reply {
   readonly columns?: readonly string[]
@@ -110,7 +110,7 @@
   frame(bytes: Buffer): void {
     if (this.#started) {
       this.#inbox.push(bytes)
-      this.#work()
+      this.#processInbox()
       return
     }
     const packet = readStartupPacket(bytes)
@@ -147,10 +147,10 @@
     this.busy = null
     this.#fail('57014', 'canceling statement due to user request')
     this.#socket.write(readyForQuery(this.status))
-    this.#work()
+    this.#processInbox()
   }
 
-  #work(): void {
+  #processInbox(): void {
     while (this.busy === null) {
       const bytes = this.#inbox.shift()
       if (bytes === undefined) return
@@ -200,7 +200,9 @@
           return
         }
         const { sql, values } = this.#bound
-        const columns = CHANGES.test(sql) ? undefined : this.#reply(sql, values).columns
+        const columns = STATEMENTS_WITHOUT_COLUMNS.test(sql)
+          ? undefined
+          : this.#reply(sql, values).columns
         this.#socket.write(columns === undefined ? NO_DATA : rowDescription(columns))
         return
       }
@@ -227,7 +229,7 @@
       this.busy = setTimeout(() => {
         this.busy = null
         this.#runReply(sql)
-        this.#work()
+        this.#processInbox()
       }, Number(sleep[1]))
       return
     }
@@ -282,8 +284,8 @@
     if (this.status === TransactionStatus.failed && !/^(ROLLBACK|COMMIT)/.test(sql)) {
       return { error: { sqlState: '25P02', message: 'current transaction is aborted' } }
     }
-    if (sql === 'BEGIN') return this.#enter(TransactionStatus.open, 'BEGIN')
-    if (sql === 'COMMIT' || sql === 'ROLLBACK') return this.#enter(TransactionStatus.idle, sql)
+    if (sql === 'BEGIN') return this.#setStatus(TransactionStatus.open, 'BEGIN')
+    if (sql === 'COMMIT' || sql === 'ROLLBACK') return this.#setStatus(TransactionStatus.idle, sql)
     if (sql === 'LISTEN news') return { tag: 'LISTEN' }
     if (sql === 'DISCARD ALL') {
       this.settings.clear()
@@ -294,7 +296,7 @@
     if (set !== null) this.settings.set(set[1] ?? '', set[2] ?? '')
     if (sql.startsWith('SET ')) return { tag: 'SET' }
     const shown = /^SHOW (\w+)$/.exec(sql)
-    if (shown !== null) return one('value', this.settings.get(shown[1] ?? '') ?? 'none')
+    if (shown !== null) return singleValue('value', this.settings.get(shown[1] ?? '') ?? 'none')
     const rows = /^SELECT rows\((\d+), (\d+)\)$/.exec(sql)
     if (rows !== null) {
       const row = ['x'.repeat(Number(rows[2]))]
@@ -311,16 +313,19 @@
       return { tag: 'INSERT 0 1' }
     }
     if (sql.startsWith('FAIL')) return { error: { sqlState: '42601', message: 'syntax error' } }
-    return one('value', values[0] ?? sql)
+    return singleValue('value', values[0] ?? sql)
   }
 
-  #enter(status: TransactionStatusByte, tag: string): Reply {
+  #setStatus(status: TransactionStatusByte, tag: string): Reply {
     this.status = status
     return { tag }
   }
 }
 
-const one = (column: string, value: string): Reply => ({ columns: [column], rows: [[value]] })
+const singleValue = (column: string, value: string): Reply => ({
+  columns: [column],
+  rows: [[value]],
+})
 
 export class FakeBackend {
   role: 'primary' | 'replica' = 'primary'
--- a/packages/proxy/__tests__/support/proxyFixture.ts
+++ b/packages/proxy/__tests__/support/proxyFixture.ts
@@ -61,7 +61,7 @@
   static async start(connections = 2): Promise<ProxyFixture> {
     const backend = await FakeBackend.start()
     const fixture = new ProxyFixture(backend, connections)
-    fixture.shell.snapshot(routingSnapshot(backend.port))
+    fixture.shell.updateSnapshot(routingSnapshot(backend.port))
     const { server, port } = await listen('127.0.0.1', 0, socket => {
       fixture.shell.accept(socket)
     })
@@ -92,7 +92,7 @@
   async close(): Promise<void> {
     this.#server?.close()
     await Promise.all(this.#clients.map(client => client.end().catch(() => undefined)))
-    this.shell.cut()
+    this.shell.destroyCallers()
     this.shell.close()
     this.backend.close()
     this.metrics.close()
--- a/packages/proxy/__tests__/support/shippedProxy.ts
+++ b/packages/proxy/__tests__/support/proxyProcessFixture.ts
@@ -13,7 +13,7 @@
 
 const PROGRAM = fileURLToPath(new URL('../../src/main.js', import.meta.url))
 
-export class ShippedProxy {
+export class ProxyProcessFixture {
   /** The primary. */
   readonly backend: FakeBackend
   readonly links = new Set<JsonRpcConnection>()
@@ -32,9 +32,9 @@
     this.#snapshot = routingSnapshot(backend.port, ...replicas.map(replica => replica.port))
   }
 
-  static async start(drainTimeoutMilliseconds = 5000): Promise<ShippedProxy> {
+  static async start(drainTimeoutMilliseconds = 5000): Promise<ProxyProcessFixture> {
     const replicas = [await FakeBackend.start(), await FakeBackend.start()]
-    const proxy = new ShippedProxy(await FakeBackend.start(), replicas)
+    const proxy = new ProxyProcessFixture(await FakeBackend.start(), replicas)
     const { server, port } = await listen('127.0.0.1', 0, socket => {
       proxy.#subscribe(new JsonRpcConnection(socket, { 'agent.subscribe': () => null }))
     })
@@ -107,11 +107,11 @@
   }
 }
 
-export async function withShippedProxy(
+export async function withProxyProcess(
   drainTimeoutMilliseconds: number,
-  test: (proxy: ShippedProxy) => Promise<void>,
+  test: (proxy: ProxyProcessFixture) => Promise<void>,
 ): Promise<void> {
-  const proxy = await ShippedProxy.start(drainTimeoutMilliseconds)
+  const proxy = await ProxyProcessFixture.start(drainTimeoutMilliseconds)
   try {
     await test(proxy)
   } finally {
--- a/packages/proxy/__tests__/support/rawCaller.ts
+++ b/packages/proxy/__tests__/support/rawCaller.ts
@@ -8,7 +8,7 @@
   readonly bytes: Buffer
 }
 
-const WAIT_MILLISECONDS = 5000
+const WAIT_TIMEOUT_MILLISECONDS = 5000
 
 export const frameOf = (type: string, body: Buffer | string): Buffer => {
   const bytes = Buffer.from(body)
@@ -40,12 +40,12 @@
     this.#socket.on('data', chunk => {
       this.#reader.push(chunk, {
         decisive: (type, bytes, start, end) => {
-          this.#take(type, bytes.subarray(start, end))
+          this.#record(type, bytes.subarray(start, end))
         },
         passing: (type, bytes, start, end, _opens, closes) => {
           this.#pieces.push(bytes.subarray(start, end))
           if (!closes) return
-          this.#take(type, Buffer.concat(this.#pieces))
+          this.#record(type, Buffer.concat(this.#pieces))
           this.#pieces = []
         },
       })
@@ -58,7 +58,7 @@
   }
 
   /** A caller that is past its startup. */
-  static async ready(port: number, className = READ_CLASS): Promise<RawCaller> {
+  static async connect(port: number, className = READ_CLASS): Promise<RawCaller> {
     const caller = new RawCaller(port)
     const options = `-c nutmegcourse.class=${className}`
     caller.send(startupMessage({ user: 'foreman', database: DATABASE, options }))
@@ -96,13 +96,13 @@
     this.#socket.resume()
   }
 
-  leave(): void {
+  disconnect(): void {
     this.#socket.destroy()
   }
 
   /** Waits until it holds, or fails with what has come so far. */
   async until(holds: () => boolean): Promise<void> {
-    const expiresAt = performance.now() + WAIT_MILLISECONDS
+    const expiresAt = performance.now() + WAIT_TIMEOUT_MILLISECONDS
     while (!holds()) {
       if (performance.now() > expiresAt) throw new Error(`waited in vain; got: ${this.types}`)
       await new Promise<void>(resolve => {
@@ -117,15 +117,15 @@
     await this.until(() => this.types.split('Z').length > count)
   }
 
-  #take(type: number, bytes: Buffer): void {
+  #record(type: number, bytes: Buffer): void {
     if (type === ServerMessage.parameterStatus) return
     this.frames.push({ type: String.fromCharCode(type), bytes: Buffer.from(bytes) })
   }
 }
 
 /** Waits for something that no caller sees. */
-export async function eventually(holds: () => boolean): Promise<void> {
-  const expiresAt = performance.now() + WAIT_MILLISECONDS
+export async function waitUntil(holds: () => boolean): Promise<void> {
+  const expiresAt = performance.now() + WAIT_TIMEOUT_MILLISECONDS
   while (!holds()) {
     if (performance.now() > expiresAt) throw new Error('waited in vain')
     await new Promise(resolve => setTimeout(resolve, 5))
--- a/packages/proxy/__tests__/support/simpleCore.ts
+++ b/packages/proxy/__tests__/support/simpleCore.ts
@@ -45,7 +45,7 @@
   handle(message: ProxyMessage): readonly ProxyEffect[] {
     this.messages.push(message)
     const effects = this.#injected.splice(0)
-    this.#take(message, effects)
+    this.#apply(message, effects)
     this.#schedule(effects)
     if (this.#stopping && this.#running.size === 0 && this.#waiting.length === 0) {
       this.#stopping = false
@@ -54,7 +54,7 @@
     return effects
   }
 
-  #take(message: ProxyMessage, effects: ProxyEffect[]): void {
+  #apply(message: ProxyMessage, effects: ProxyEffect[]): void {
     switch (message.kind) {
       case 'requestArrived': {
         const write = this.#options.isWrite(message.class)
--- a/packages/proxy/src/agentLink.ts
+++ b/packages/proxy/src/agentLink.ts
@@ -1,57 +1,60 @@
 /**
- * The proxy's connection to its entry host's agent: snapshots come in, reports go out, operators' questions
- * are answered. It is reopened for ever; meanwhile the proxy goes on with its last snapshot.
+ * The proxy's connection to the agent of its entry host: receives snapshots, sends health reports and
+ * answers operators' queries. Reconnects indefinitely; until then the last snapshot stays in use.
  */
 import type { ProxyReport, RoutingSnapshot } from '@nutmegcourse/protocol'
 import type { BackendServerId, RandomSource } from '@nutmegcourse/shared'
 import { openJsonRpc, type JsonRpcConnection, type RpcHandlers } from '@nutmegcourse/transport'
 import type { ResultAsync } from 'neverthrow'
 import { Backoff } from './backoff.js'
-import { toLinkError, type LinkError } from './proxyError.js'
+import { toLinkError, type LinkError } from './linkError.js'
 
-export interface AgentPlace {
+export interface AgentEndpoint {
   readonly address: string
   readonly port: number
 }
 
 export interface AgentLinkEvents {
-  /** `isFirst`: the first over a new connection; a restarted agent counts its snapshots anew. */
+  /** `isFirst`: first of a new connection; a restarted agent numbers its snapshots from the start again. */
   snapshot(snapshot: RoutingSnapshot, isFirst: boolean): void
   connected(): void
   disconnected(error: LinkError): void
 }
 
-const REOPENING = { firstMilliseconds: 50, longestMilliseconds: 1000 }
+const RECONNECT_BACKOFF = { firstMilliseconds: 50, longestMilliseconds: 1000 }
 const CONNECT_TIMEOUT_MILLISECONDS = 1000
 const SUBSCRIBE_TIMEOUT_MILLISECONDS = 2000
-const NOBODY: LinkError = { kind: 'notConnected', detail: 'the agent closed the connection' }
+const CLOSED_BY_AGENT: LinkError = {
+  kind: 'notConnected',
+  detail: 'the agent closed the connection',
+}
 
 export class AgentLink {
-  readonly #place: AgentPlace
+  readonly #endpoint: AgentEndpoint
   readonly #handlers: RpcHandlers
   readonly #events: AgentLinkEvents
   readonly #backoff: Backoff
-  /** The last report about each backend server, told again to an agent that restarted. */
+  /** The last report about each backend server, sent again after a reconnect. */
   readonly #reports = new Map<BackendServerId, ProxyReport>()
   #connection: JsonRpcConnection | null = null
   #timer: NodeJS.Timeout | null = null
-  #awaitsFirst = true
+  #awaitsFirstSnapshot = true
   #closed = false
 
   constructor(
-    place: AgentPlace,
+    endpoint: AgentEndpoint,
     handlers: RpcHandlers,
     events: AgentLinkEvents,
     random: RandomSource,
   ) {
-    this.#place = place
+    this.#endpoint = endpoint
     this.#events = events
-    this.#backoff = new Backoff(REOPENING, random)
+    this.#backoff = new Backoff(RECONNECT_BACKOFF, random)
     this.#handlers = {
       ...handlers,
       'proxy.snapshot': params => {
-        const isFirst = this.#awaitsFirst
-        this.#awaitsFirst = false
+        const isFirst = this.#awaitsFirstSnapshot
+        this.#awaitsFirstSnapshot = false
         events.snapshot(params as RoutingSnapshot, isFirst)
       },
     }
@@ -76,17 +79,17 @@
   #open(): void {
     void this.#subscribe().match(
       connection => {
-        this.#adopt(connection)
+        this.#handleOpened(connection)
       },
       error => {
-        this.#retreat(error)
+        this.#scheduleReconnect(error)
       },
     )
   }
 
   #subscribe(): ResultAsync<JsonRpcConnection, LinkError> {
-    const { address, port } = this.#place
-    this.#awaitsFirst = true
+    const { address, port } = this.#endpoint
+    this.#awaitsFirstSnapshot = true
     return openJsonRpc(address, port, this.#handlers, CONNECT_TIMEOUT_MILLISECONDS)
       .andThen(connection =>
         connection
@@ -100,27 +103,27 @@
       .mapErr(toLinkError)
   }
 
-  #adopt(connection: JsonRpcConnection): void {
+  #handleOpened(connection: JsonRpcConnection): void {
     if (this.#closed) {
       connection.close()
       return
     }
     this.#connection = connection
-    this.#backoff.succeeded()
+    this.#backoff.reset()
     for (const report of this.#reports.values()) connection.notify('agent.report', report)
     this.#events.connected()
     connection.onClose(() => {
       this.#connection = null
-      this.#retreat(NOBODY)
+      this.#scheduleReconnect(CLOSED_BY_AGENT)
     })
   }
 
-  #retreat(error: LinkError): void {
+  #scheduleReconnect(error: LinkError): void {
     if (this.#closed) return
     this.#events.disconnected(error)
     this.#timer = setTimeout(() => {
       this.#timer = null
       this.#open()
-    }, this.#backoff.failed())
+    }, this.#backoff.nextDelayMilliseconds())
   }
 }
--- a/packages/proxy/src/heldAnswer.ts
+++ b/packages/proxy/src/answerBuffer.ts
@@ -12,7 +12,7 @@
   write(bytes: Buffer): void
 }
 
-export class HeldAnswer {
+export class AnswerBuffer {
   readonly #target: AnswerTarget
   #holding: boolean
   #chunks: Buffer[] = []
@@ -40,7 +40,7 @@
     this.#chunks.push(bytes)
     this.#bytes += bytes.length
     if (this.#sealed) return this.#bytes <= HELD_LIMIT_BYTES
-    if (this.#bytes > HELD_ROWS_LIMIT_BYTES) this.#sendHeld()
+    if (this.#bytes > HELD_ROWS_LIMIT_BYTES) this.#flush()
     return true
   }
 
@@ -57,7 +57,7 @@
   /** Sends what is held, and lets the rest pass. */
   release(): void {
     this.#holding = false
-    this.#sendHeld()
+    this.#flush()
   }
 
   /** Drops what is held; what the caller has already stays with it. */
@@ -66,7 +66,7 @@
     this.#bytes = 0
   }
 
-  #sendHeld(): void {
+  #flush(): void {
     if (this.#chunks.length === 0) return
     const bytes = this.#chunks.length === 1 ? this.#chunks[0] : Buffer.concat(this.#chunks)
     this.drop()
--- a/packages/proxy/src/backendConnection.ts
+++ b/packages/proxy/src/backendConnection.ts
@@ -19,7 +19,7 @@
 import type { CallerSettings } from './callerSettings.js'
 import { ConnectionSetup } from './connectionSetup.js'
 import { ConnectionStatements } from './connectionStatements.js'
-import type { HeldAnswer } from './heldAnswer.js'
+import type { AnswerBuffer } from './answerBuffer.js'
 import { StepEncoder } from './requestSteps.js'
 
 export interface BackendConnectionEvents {
@@ -38,10 +38,10 @@
 
 export interface RunRequest {
   readonly request: CallerRequest
-  readonly answer: HeldAnswer
+  readonly answer: AnswerBuffer
   readonly settings: CallerSettings
   readonly readOnly: boolean
-  readonly asksPosition: boolean
+  readonly queriesPosition: boolean
   /** The request continues a transaction: nothing may be put before it. */
   readonly insideTransaction: boolean
 }
@@ -53,9 +53,9 @@
 const READ_BUFFER = Buffer.allocUnsafeSlow(64 * 1024)
 const KEEP_ALIVE_MILLISECONDS = 10_000
 const APPLICATION_NAME = 'nutmegcourse-proxy'
-const POSITION_QUESTION = queryMessage(POSITION_STATEMENT)
+const POSITION_QUERY = queryMessage(POSITION_STATEMENT)
 /** A server that has forgotten a statement, or has one the proxy does not know of, is cleaned up. */
-const STATEMENT_CONFUSION: ReadonlySet<string> = new Set(['26000', '42P05', '0A000'])
+const STATEMENT_MISMATCH_STATES: ReadonlySet<string> = new Set(['26000', '42P05', '0A000'])
 
 type State = 'opening' | 'open' | 'closed'
 
@@ -74,9 +74,9 @@
   #run: BackendRun | null = null
   #encoder: StepEncoder | null = null
   #sentSteps = 0
-  #asksPosition = false
-  #cancelsUnderWay = 0
-  #outcomeWaiting: RunOutcome | null = null
+  #queriesPosition = false
+  #cancelsInFlight = 0
+  #pendingOutcome: RunOutcome | null = null
 
   constructor(
     id: ConnectionId,
@@ -97,7 +97,7 @@
       onread: { buffer: READ_BUFFER, callback: this.#read },
     })
     this.#openTimer = setTimeout(() => {
-      this.#fail('timeout', 'no answer to the connection attempt in time')
+      this.#failOpening('timeout', 'no answer to the connection attempt in time')
     }, options.connectTimeoutMilliseconds)
     this.#listen()
   }
@@ -121,16 +121,18 @@
   }
 
   /** Sends a request with what must stand around it, in one write. */
-  start(order: RunRequest): void {
-    const { request } = order
-    const output = order.insideTransaction ? [] : this.setup.prepare(order.settings, order.readOnly)
-    const plan = { preparations: output.length, asksPosition: order.asksPosition }
-    this.#run = new BackendRun(request, order.answer, plan, this)
+  start(runRequest: RunRequest): void {
+    const { request } = runRequest
+    const output = runRequest.insideTransaction
+      ? []
+      : this.setup.prepare(runRequest.settings, runRequest.readOnly)
+    const plan = { preparations: output.length, queriesPosition: runRequest.queriesPosition }
+    this.#run = new BackendRun(request, runRequest.answer, plan, this)
     this.#encoder = null
     this.#sentSteps = 0
-    this.#asksPosition = order.asksPosition
+    this.#queriesPosition = runRequest.queriesPosition
     if (this.#state !== 'open') {
-      this.#breakOff('the connection was closed before the request was sent')
+      this.#closeOnError('the connection was closed before the request was sent')
       return
     }
     if (request.shape.kind === 'simple') output.push(request.shape.frame)
@@ -163,9 +165,9 @@
   cancel(): void {
     const { key } = this.#startup
     if (this.#run === null || key === null) return
-    this.#cancelsUnderWay += 1
-    void sendCancel(this.server, key, this.#options.connectTimeoutMilliseconds).then(taken => {
-      this.#cancelSettled(taken)
+    this.#cancelsInFlight += 1
+    void sendCancel(this.server, key, this.#options.connectTimeoutMilliseconds).then(isAccepted => {
+      this.#handleCancelDone(isAccepted)
     })
   }
 
@@ -201,13 +203,13 @@
   }
 
   ended(_run: BackendRun, outcome: RunOutcome): void {
-    this.#noteStatements(outcome)
-    if (this.#cancelsUnderWay > 0) this.#outcomeWaiting = outcome
+    this.#recordStatements(outcome)
+    if (this.#cancelsInFlight > 0) this.#pendingOutcome = outcome
     else this.#end(outcome)
   }
 
   faulted(_run: BackendRun, fault: RunFault): void {
-    this.#breakOff(describeFault(fault))
+    this.#closeOnError(describeFault(fault))
   }
 
   readonly #read = (length: number, buffer: Uint8Array): boolean => {
@@ -215,7 +217,7 @@
     const chunk = buffer === READ_BUFFER ? READ_BUFFER.subarray(0, length) : Buffer.from(buffer)
     const readable = this.#frames.push(chunk, this)
     this.#run?.flush()
-    if (!readable) this.#breakOff('the backend server sent no PostgreSQL frame')
+    if (!readable) this.#closeOnError('the backend server sent no PostgreSQL frame')
     return true
   }
 
@@ -228,10 +230,10 @@
     })
     socket.on('error', error => {
       const refused = 'code' in error && error.code === 'ECONNREFUSED'
-      this.#breakOff(error.message, refused ? 'refused' : 'lost')
+      this.#closeOnError(error.message, refused ? 'refused' : 'lost')
     })
     socket.on('close', () => {
-      this.#breakOff('the backend server closed the connection')
+      this.#closeOnError('the backend server closed the connection')
     })
   }
 
@@ -240,15 +242,15 @@
     this.#openTimer = null
   }
 
-  #fail(failure: ConnectFailure, detail: string): void {
+  #failOpening(failure: ConnectFailure, detail: string): void {
     this.close()
     this.#events.openFailed(this, failure, detail)
   }
 
-  #breakOff(detail: string, failure: ConnectFailure = 'lost'): void {
+  #closeOnError(detail: string, failure: ConnectFailure = 'lost'): void {
     if (this.#state === 'closed') return
     if (this.#state === 'opening') {
-      this.#fail(failure, detail)
+      this.#failOpening(failure, detail)
       return
     }
     const run = this.#run
@@ -259,10 +261,10 @@
   #readStartup(type: number, bytes: Buffer, start: number, end: number): void {
     const step = this.#startup.read(type, bytes, start, end)
     switch (step.kind) {
-      case 'going':
+      case 'pending':
         return
       case 'failed':
-        this.#fail(step.failure, step.detail)
+        this.#failOpening(step.failure, step.detail)
         return
       case 'ready':
         this.#state = 'open'
@@ -277,10 +279,10 @@
       case ServerMessage.notificationResponse:
         return
       case ServerMessage.errorResponse:
-        this.#breakOff(readServerError(bytes, start, end).message)
+        this.#closeOnError(readServerError(bytes, start, end).message)
         return
       default:
-        this.#breakOff('the backend server sent an answer to no request')
+        this.#closeOnError('the backend server sent an answer to no request')
     }
   }
 
@@ -295,7 +297,7 @@
         if (step !== undefined) this.#encoder.encode(step, output)
       }
     }
-    if (request.complete && this.#asksPosition) output.push(POSITION_QUESTION)
+    if (request.complete && this.#queriesPosition) output.push(POSITION_QUERY)
   }
 
   #writeAll(output: readonly Buffer[]): void {
@@ -304,10 +306,10 @@
     this.#socket.write(output.length === 1 ? only : Buffer.concat(output))
   }
 
-  #noteStatements(outcome: RunOutcome): void {
-    for (const slot of outcome.unprepared) this.#statements.remove(slot.statement.serverName)
-    const confused = outcome.sqlState !== null && STATEMENT_CONFUSION.has(outcome.sqlState)
-    if (outcome.closesSkipped || confused) this.setup.markDirty()
+  #recordStatements(outcome: RunOutcome): void {
+    for (const slot of outcome.failedParses) this.#statements.remove(slot.statement.serverName)
+    const isMismatch = outcome.sqlState !== null && STATEMENT_MISMATCH_STATES.has(outcome.sqlState)
+    if (outcome.closesSkipped || isMismatch) this.setup.markDirty()
   }
 
   #end(outcome: RunOutcome): void {
@@ -319,15 +321,15 @@
     this.#events.ended(this, run, outcome)
   }
 
-  #cancelSettled(taken: boolean): void {
-    this.#cancelsUnderWay -= 1
-    if (!taken) {
-      this.#breakOff('a cancel request got lost on its way to the backend server')
+  #handleCancelDone(isAccepted: boolean): void {
+    this.#cancelsInFlight -= 1
+    if (!isAccepted) {
+      this.#closeOnError('a cancel request got lost on its way to the backend server')
       return
     }
-    const outcome = this.#outcomeWaiting
-    if (this.#cancelsUnderWay > 0 || outcome === null) return
-    this.#outcomeWaiting = null
+    const outcome = this.#pendingOutcome
+    if (this.#cancelsInFlight > 0 || outcome === null) return
+    this.#pendingOutcome = null
     this.#end(outcome)
   }
 }
--- a/packages/proxy/src/backendRun.ts
+++ b/packages/proxy/src/backendRun.ts
@@ -16,7 +16,7 @@
 } from '@nutmegcourse/protocol'
 import type { LogPosition } from '@nutmegcourse/shared'
 import type { CallerRequest } from './callerRequest.js'
-import type { HeldAnswer } from './heldAnswer.js'
+import type { AnswerBuffer } from './answerBuffer.js'
 import type { AnswerSlots, ParseSlot } from './requestSteps.js'
 
 export interface RunOutcome {
@@ -32,7 +32,7 @@
   /** SQLSTATE of the last error of the answer. */
   readonly sqlState: string | null
   /** Prepared statements whose Parse was not answered with success. */
-  readonly unprepared: readonly ParseSlot[]
+  readonly failedParses: readonly ParseSlot[]
   /** The proxy's own clean-up was skipped after an error. */
   readonly closesSkipped: boolean
 }
@@ -58,7 +58,7 @@
   /** Answers to swallow before the caller's. */
   readonly preparations: number
   /** The position question follows the request. */
-  readonly asksPosition: boolean
+  readonly queriesPosition: boolean
 }
 
 /** Tags of commands whose effect stays on the connection when their transaction is over. */
@@ -76,7 +76,9 @@
 
 export type SessionTag = (typeof SESSION_TAGS)[number]
 
-const asSessionTag: ReadonlyMap<string, SessionTag> = new Map(SESSION_TAGS.map(tag => [tag, tag]))
+const sessionTagsByName: ReadonlyMap<string, SessionTag> = new Map(
+  SESSION_TAGS.map(tag => [tag, tag]),
+)
 
 /** Of these, the ones that a caller of pooled connections could not make use of afterwards. */
 const REFUSED_TAGS: ReadonlySet<string> = new Set<SessionTag>(['LISTEN', 'PREPARE'])
@@ -84,20 +86,20 @@
 const CLOSE_COMPLETE_TYPE = ServerMessage.closeComplete
 const FATAL_SEVERITIES: ReadonlySet<string> = new Set(['FATAL', 'PANIC'])
 
-type Phase = 'preparations' | 'answer' | 'question' | 'over'
+type Phase = 'preparations' | 'answer' | 'positionQuery' | 'ended'
 
 export class BackendRun implements ServerFrameSink {
   readonly request: CallerRequest
-  readonly answer: HeldAnswer
+  readonly answer: AnswerBuffer
   readonly slots: AnswerSlots = { parses: [], closes: [] }
   readonly #events: RunEvents
-  readonly #asksPosition: boolean
+  readonly #queriesPosition: boolean
   #preparations: number
   #phase: Phase
   /** Neighbouring frames that all go to the caller leave as one piece. */
-  #kept: Buffer | null = null
-  #keptStart = 0
-  #keptEnd = 0
+  #pending: Buffer | null = null
+  #pendingStart = 0
+  #pendingEnd = 0
   #status: TransactionStatusByte = TransactionStatus.idle
   #isAnswered = false
   #failed = false
@@ -108,11 +110,11 @@
   #position: LogPosition | null = null
   #rowPieces: Buffer[] = []
 
-  constructor(request: CallerRequest, answer: HeldAnswer, plan: RunPlan, events: RunEvents) {
+  constructor(request: CallerRequest, answer: AnswerBuffer, plan: RunPlan, events: RunEvents) {
     this.request = request
     this.answer = answer
     this.#events = events
-    this.#asksPosition = plan.asksPosition
+    this.#queriesPosition = plan.queriesPosition
     this.#preparations = plan.preparations
     this.#phase = plan.preparations > 0 ? 'preparations' : 'answer'
   }
@@ -129,8 +131,8 @@
 
   /** Nothing of it is wanted any more. */
   abandon(): void {
-    this.#phase = 'over'
-    this.#kept = null
+    this.#phase = 'ended'
+    this.#pending = null
     this.answer.drop()
   }
 
@@ -142,8 +144,8 @@
     _opens: boolean,
     closes: boolean,
   ): void {
-    if (this.#phase === 'answer') this.#keep(bytes, start, end)
-    else if (this.#phase === 'question' && type === ServerMessage.dataRow) {
+    if (this.#phase === 'answer') this.#forward(bytes, start, end)
+    else if (this.#phase === 'positionQuery' && type === ServerMessage.dataRow) {
       this.#collectRow(Buffer.from(bytes.subarray(start, end)), closes)
     }
   }
@@ -156,41 +158,41 @@
       case 'answer':
         this.#readAnswer(type, bytes, start, end)
         return
-      case 'question':
-        this.#readQuestion(type, bytes, start, end)
+      case 'positionQuery':
+        this.#readPositionAnswer(type, bytes, start, end)
         return
-      case 'over':
+      case 'ended':
     }
   }
 
   /** The chunk at hand is read: what is for the caller leaves now. */
   flush(): void {
-    const bytes = this.#kept
+    const bytes = this.#pending
     if (bytes === null) return
-    this.#kept = null
+    this.#pending = null
     // A copy: the socket's buffer is reused for the next chunk of any backend connection.
-    const piece = Buffer.allocUnsafe(this.#keptEnd - this.#keptStart)
-    bytes.copy(piece, 0, this.#keptStart, this.#keptEnd)
+    const piece = Buffer.allocUnsafe(this.#pendingEnd - this.#pendingStart)
+    bytes.copy(piece, 0, this.#pendingStart, this.#pendingEnd)
     if (!this.answer.push(piece)) this.#fault({ kind: 'answerTooLarge' })
   }
 
-  #keep(bytes: Buffer, start: number, end: number): void {
-    if (this.#kept === bytes && this.#keptEnd === start) {
-      this.#keptEnd = end
+  #forward(bytes: Buffer, start: number, end: number): void {
+    if (this.#pending === bytes && this.#pendingEnd === start) {
+      this.#pendingEnd = end
       return
     }
     this.flush()
-    this.#kept = bytes
-    this.#keptStart = start
-    this.#keptEnd = end
+    this.#pending = bytes
+    this.#pendingStart = start
+    this.#pendingEnd = end
   }
 
-  #replace(frame: Buffer): void {
-    this.#keep(frame, 0, frame.length)
+  #forwardFrame(frame: Buffer): void {
+    this.#forward(frame, 0, frame.length)
   }
 
   #fault(fault: RunFault): void {
-    if (this.#phase === 'over') return
+    if (this.#phase === 'ended') return
     this.abandon()
     this.#events.faulted(this, fault)
   }
@@ -207,7 +209,7 @@
   #readAnswer(type: number, bytes: Buffer, start: number, end: number): void {
     switch (type) {
       case ServerMessage.readyForQuery:
-        this.#keep(bytes, start, end)
+        this.#forward(bytes, start, end)
         this.#endAnswer(bytes[end - 1])
         return
       case ServerMessage.commandComplete:
@@ -217,13 +219,13 @@
         this.#readError(bytes, start, end)
         return
       case ServerMessage.parseComplete:
-        if (this.slots.parses.shift()?.swallowed !== true) this.#keep(bytes, start, end)
+        if (this.slots.parses.shift()?.hidden !== true) this.#forward(bytes, start, end)
         return
       case ServerMessage.closeComplete:
         this.#readCloseComplete(bytes, start, end)
         return
       case ServerMessage.parameterStatus:
-        this.#keep(bytes, start, end)
+        this.#forward(bytes, start, end)
         return
       case ServerMessage.notificationResponse:
         // Meant for whoever listened on this connection before; nobody does on a pooled one.
@@ -241,21 +243,22 @@
 
   /** No data of a COPY ever went to the server, so closing the connection undoes what was begun. */
   #refuseCopy(): void {
-    if (!this.#committed) this.request.replacement = { reason: 'unsupported', detail: 'COPY' }
+    if (!this.#committed)
+      this.request.replacementRefusal = { reason: 'unsupported', detail: 'COPY' }
     this.#fault({ kind: 'copy' })
   }
 
   #readCloseComplete(bytes: Buffer, start: number, end: number): void {
     const slot = this.slots.closes.shift()
-    if (slot === 'swallow') return
+    if (slot === 'discard') return
     if (slot === 'asParseComplete') bytes[start] = ServerMessage.parseComplete
     else bytes[start] = CLOSE_COMPLETE_TYPE
-    this.#keep(bytes, start, end)
+    this.#forward(bytes, start, end)
   }
 
   #readTag(bytes: Buffer, start: number, end: number): void {
     const tag = readCommandTag(bytes, start, end)
-    const sessionTag = asSessionTag.get(tag)
+    const sessionTag = sessionTagsByName.get(tag)
     this.#commands += 1
     if (sessionTag !== undefined && !this.#sessionTags.includes(sessionTag)) {
       this.#sessionTags.push(sessionTag)
@@ -266,10 +269,10 @@
       this.answer.seal()
     }
     if (!REFUSED_TAGS.has(tag)) {
-      this.#keep(bytes, start, end)
+      this.#forward(bytes, start, end)
       return
     }
-    this.#replace(
+    this.#forwardFrame(
       errorResponse({
         severity: 'ERROR',
         sqlState: '0A000',
@@ -287,7 +290,7 @@
     }
     this.#failed = true
     this.#sqlState = error.sqlState
-    this.#keep(bytes, start, end)
+    this.#forward(bytes, start, end)
   }
 
   #endAnswer(status: number | undefined): void {
@@ -302,12 +305,12 @@
     this.#status = status
     this.#isAnswered = true
     this.flush()
-    if (this.#asksPosition) this.#phase = 'question'
+    if (this.#queriesPosition) this.#phase = 'positionQuery'
     this.#events.answered(this)
-    if (!this.#asksPosition) this.#end()
+    if (!this.#queriesPosition) this.#end()
   }
 
-  #readQuestion(type: number, bytes: Buffer, start: number, end: number): void {
+  #readPositionAnswer(type: number, bytes: Buffer, start: number, end: number): void {
     if (type === ServerMessage.readyForQuery) {
       this.#end()
       return
@@ -330,7 +333,7 @@
   }
 
   #end(): void {
-    this.#phase = 'over'
+    this.#phase = 'ended'
     this.#events.ended(this, {
       status: this.#status,
       position: this.#position,
@@ -338,8 +341,8 @@
       commands: this.#commands,
       sessionTags: this.#sessionTags,
       sqlState: this.#sqlState,
-      unprepared: this.slots.parses,
-      closesSkipped: this.slots.closes.includes('swallow'),
+      failedParses: this.slots.parses,
+      closesSkipped: this.slots.closes.includes('discard'),
     })
   }
 }
--- a/packages/proxy/src/backendStartup.ts
+++ b/packages/proxy/src/backendStartup.ts
@@ -6,14 +6,14 @@
   type ServerFrameSink,
 } from '@nutmegcourse/protocol'
 import type { ConnectFailure } from '@nutmegcourse/state'
-import type { ServerKey } from './cancelSender.js'
+import type { BackendKey } from './cancelSender.js'
 
 export type StartupStep =
-  | { readonly kind: 'going' }
+  | { readonly kind: 'pending' }
   | { readonly kind: 'ready' }
   | { readonly kind: 'failed'; readonly failure: ConnectFailure; readonly detail: string }
 
-const GOING: StartupStep = { kind: 'going' }
+const PENDING: StartupStep = { kind: 'pending' }
 const READY: StartupStep = { kind: 'ready' }
 const TOO_MANY_CONNECTIONS = '53300'
 const AUTHENTICATION_OK = 0
@@ -21,7 +21,7 @@
 const SECRET_START = BODY_START + 4
 
 /** Whole frames shorter than this lack a field that is read. */
-const SHORTEST: ReadonlyMap<number, number> = new Map([
+const MINIMUM_FRAME_BYTES: ReadonlyMap<number, number> = new Map([
   [ServerMessage.authentication, BODY_START + 4],
   [ServerMessage.backendKeyData, SECRET_START + 4],
 ])
@@ -31,29 +31,32 @@
 export class BackendStartup {
   /** ParameterStatus values. */
   readonly parameters = new Map<string, string>()
-  #key: ServerKey | null = null
+  #key: BackendKey | null = null
 
   /** Names the connection in a CancelRequest; null when the server gave none. */
-  get key(): ServerKey | null {
+  get key(): BackendKey | null {
     return this.#key
   }
 
   read(...[type, bytes, start, end]: Frame): StartupStep {
-    if (end - start < (SHORTEST.get(type) ?? 0)) return failed('a startup message is cut short')
+    if (end - start < (MINIMUM_FRAME_BYTES.get(type) ?? 0))
+      return failed('a startup message is cut short')
     switch (type) {
       case ServerMessage.authentication: {
         const method = bytes.readInt32BE(start + BODY_START)
-        return method === AUTHENTICATION_OK ? GOING : failed('the backend server wants a password')
+        return method === AUTHENTICATION_OK
+          ? PENDING
+          : failed('the backend server wants a password')
       }
       case ServerMessage.backendKeyData:
         this.#key = {
           processId: bytes.readInt32BE(start + BODY_START),
           secret: bytes.readInt32BE(start + SECRET_START),
         }
-        return GOING
+        return PENDING
       case ServerMessage.parameterStatus:
         this.#readParameter(bytes, start, end)
-        return GOING
+        return PENDING
       case ServerMessage.errorResponse: {
         const { sqlState, message } = readServerError(bytes, start, end)
         return failed(message, sqlState === TOO_MANY_CONNECTIONS ? 'tooManyConnections' : 'refused')
@@ -61,7 +64,7 @@
       case ServerMessage.readyForQuery:
         return READY
       default:
-        return GOING
+        return PENDING
     }
   }
 
--- a/packages/proxy/src/backoff.ts
+++ b/packages/proxy/src/backoff.ts
@@ -16,15 +16,15 @@
     this.#random = random
   }
 
-  succeeded(): void {
+  reset(): void {
     this.#failures = 0
   }
 
   /** How long to wait after one more failure, in milliseconds. */
-  failed(): number {
+  nextDelayMilliseconds(): number {
     const { firstMilliseconds, longestMilliseconds } = this.#limits
-    const span = Math.min(longestMilliseconds, firstMilliseconds * 2 ** this.#failures)
+    const delay = Math.min(longestMilliseconds, firstMilliseconds * 2 ** this.#failures)
     this.#failures += 1
-    return span * (0.5 + this.#random.next() / 2)
+    return delay * (0.5 + this.#random.next() / 2)
   }
 }
--- a/packages/proxy/src/callerConnection.ts
+++ b/packages/proxy/src/callerConnection.ts
@@ -1,6 +1,6 @@
 /**
- * One caller's connection: reads its messages, keeps its requests in order and writes its answers. It
- * knows the protocol; where a request goes is the core's affair, through `CallerEvents`.
+ * One caller's connection: reads its messages, queues its requests and writes its answers. Handles the
+ * protocol only; the core routes requests, which it receives through `CallerEvents`.
  */
 import type { Socket } from 'node:net'
 import {
@@ -18,26 +18,26 @@
   type TransactionStatusByte,
 } from '@nutmegcourse/protocol'
 import { sessionId, type Refusal, type RequestId, type SessionId } from '@nutmegcourse/shared'
-import { writeGreeting, type CancelKey } from './callerGreeting.js'
+import { encodeStartupResponse, type CancelKey } from './callerStartupResponse.js'
 import { CallerRequest } from './callerRequest.js'
 import { CallerSettings } from './callerSettings.js'
 import { readIdentity, type CallerIdentity } from './callerStartup.js'
-import type { AnswerTarget } from './heldAnswer.js'
-import { RequestIntake, isExtended } from './requestIntake.js'
+import type { AnswerTarget } from './answerBuffer.js'
+import { RequestQueue, isExtended } from './requestQueue.js'
 import { CallerStatements, type StatementCatalog } from './statementCatalog.js'
 
 export interface CallerEvents {
-  /** Null when the caller may go on; else why not. */
+  /** Null if the caller is accepted, otherwise the refusal. */
   admit(caller: CallerConnection, identity: CallerIdentity): Refusal | null
   parametersOf(identity: CallerIdentity): ReadonlyMap<string, string>
   nextRequestId(): RequestId
   cancel(key: CancelKey): void
-  /** A request is at the head of the caller's queue, and a Flush or Sync stands behind its messages. */
+  /** A request has reached the head of the caller's queue and has messages that may be sent. */
   start(caller: CallerConnection, request: CallerRequest): void
-  /** More of a started request is there to be sent. */
-  more(caller: CallerConnection, request: CallerRequest): void
-  congested(caller: CallerConnection): void
-  relieved(caller: CallerConnection): void
+  /** A started request has further messages to send. */
+  moreAvailable(caller: CallerConnection, request: CallerRequest): void
+  congestionStarted(caller: CallerConnection): void
+  congestionEnded(caller: CallerConnection): void
   closed(caller: CallerConnection, unfinished: readonly CallerRequest[]): void
 }
 
@@ -46,13 +46,13 @@
   readonly startupTimeoutMilliseconds: number
 }
 
-/** A caller that does not read its answers gets no more of them read for it beyond this. */
+/** Unsent bytes above which no more answers are read for a caller that does not receive them. */
 export const CONGESTED_BYTES = 256 * 1024
 const KEEP_ALIVE_MILLISECONDS = 30_000
-/** Time for a caller to take a last error and close. */
-const FAREWELL_MILLISECONDS = 2000
+/** Time for a caller to read a final error and close the connection. */
+const CLOSE_TIMEOUT_MILLISECONDS = 2000
 
-type Phase = 'startup' | 'ready' | 'leaving' | 'closed'
+type Phase = 'startup' | 'ready' | 'closing' | 'closed'
 
 export class CallerConnection implements FrameSink, AnswerTarget {
   readonly key: CancelKey
@@ -62,14 +62,14 @@
   readonly #events: CallerEvents
   readonly #options: CallerOptions
   readonly #frames: CallerFrames
-  readonly #intake: RequestIntake
-  readonly #ownSession: SessionId
+  readonly #requests: RequestQueue
+  readonly #connectionSession: SessionId
   #identity: CallerIdentity | null = null
   #phase: Phase = 'startup'
   #status: TransactionStatusByte = TransactionStatus.idle
   #paused = false
-  #congested = false
-  #pumping = false
+  #isCongested = false
+  #isStartingRequests = false
   #terminating = false
   #draining = false
 
@@ -82,16 +82,16 @@
   ) {
     this.#socket = socket
     this.key = key
-    this.#ownSession = sessionId(`connection:${key.processId}:${key.secret}`)
+    this.#connectionSession = sessionId(`connection:${key.processId}:${key.secret}`)
     this.#options = options
     this.#events = events
     this.#frames = new CallerFrames(options.messageLimitBytes)
     this.statements = new CallerStatements(catalog)
-    this.#intake = new RequestIntake(this.statements, {
+    this.#requests = new RequestQueue(this.statements, {
       messageLimitBytes: options.messageLimitBytes,
       nextRequestId: () => events.nextRequestId(),
-      more: request => {
-        events.more(this, request)
+      moreAvailable: request => {
+        events.moreAvailable(this, request)
       },
     })
     this.#listen()
@@ -102,67 +102,67 @@
     return this.#identity
   }
 
-  /** The session's name; made up for this connection when the caller gave none. */
+  /** The session's name; generated for this connection if the caller gave none. */
   get session(): SessionId {
-    return this.#identity?.session ?? this.#ownSession
+    return this.#identity?.session ?? this.#connectionSession
   }
 
   get head(): CallerRequest | null {
-    return this.#intake.head
+    return this.#requests.head
   }
 
   get unsentBytes(): number {
     return this.#socket.writableLength
   }
 
-  get congested(): boolean {
-    return this.#congested
+  get isCongested(): boolean {
+    return this.#isCongested
   }
 
-  /** Transaction status as the caller was last told. */
+  /** Transaction status last sent to the caller. */
   get status(): TransactionStatusByte {
     return this.#status
   }
 
   get wantsMore(): boolean {
     if (this.#phase === 'startup') return true
-    return this.#phase === 'ready' && !this.#terminating && !this.#intake.isFull()
+    return this.#phase === 'ready' && !this.#terminating && !this.#requests.isFull()
   }
 
   write(bytes: Buffer): void {
-    if (this.#phase === 'closed' || this.#phase === 'leaving') return
+    if (this.#phase === 'closed' || this.#phase === 'closing') return
     this.#socket.write(bytes)
-    if (this.#congested || this.#socket.writableLength <= CONGESTED_BYTES) return
-    this.#congested = true
-    this.#events.congested(this)
+    if (this.#isCongested || this.#socket.writableLength <= CONGESTED_BYTES) return
+    this.#isCongested = true
+    this.#events.congestionStarted(this)
   }
 
-  /** The request at the head has its final answer, except for ReadyForQuery if `ready` is given. */
+  /** Finishes the request at the head. Sends ReadyForQuery unless the answer contained it already. */
   finish(
     request: CallerRequest,
     status: TransactionStatusByte,
     ready: 'readySent' | 'sendReady',
   ): void {
-    if (this.#intake.head !== request) return
+    if (this.#requests.head !== request) return
     if (ready === 'sendReady') this.write(readyForQuery(status))
     this.#status = status
-    this.#intake.finishHead()
-    this.#pump()
-    this.#readOn()
+    this.#requests.finishHead()
+    this.#startRequests()
+    this.#resumeReading()
   }
 
-  /** A last error, then the connection ends. Nothing of other callers is touched. */
+  /** Sends a final error and closes this connection. Other callers are not affected. */
   fail(refusal: Refusal): void {
-    this.#leave(refusalResponse(refusal, 'FATAL'))
+    this.#closeWith(refusalResponse(refusal, 'FATAL'))
   }
 
-  /** Ends the connection as soon as nothing is in flight and no transaction is open. */
+  /** Closes the connection as soon as nothing is in flight and no transaction is open. */
   drain(): void {
     this.#draining = true
-    this.#leaveWhenIdle()
+    this.#closeWhenIdle()
   }
 
-  /** Cuts the connection. */
+  /** Closes the connection at once, without an error message. */
   destroy(): void {
     this.#socket.destroy()
   }
@@ -181,23 +181,23 @@
 
   #listen(): void {
     const socket = this.#socket
-    // A caller whose host vanished sends no more; its transaction must not hold a connection for ever.
+    // Detects a caller whose machine is unreachable: its transaction must not occupy a connection forever.
     socket.setKeepAlive(true, KEEP_ALIVE_MILLISECONDS)
     socket.setTimeout(this.#options.startupTimeoutMilliseconds, () => {
       socket.destroy()
     })
     socket.on('data', chunk => {
-      if (this.#phase === 'leaving') return
+      if (this.#phase === 'closing') return
       this.#frames.push(chunk, this)
-      this.#pump()
+      this.#startRequests()
       this.#pauseIfFull()
     })
     socket.on('drain', () => {
-      if (!this.#congested) return
-      this.#congested = false
-      this.#events.relieved(this)
-      this.#pump()
-      this.#readOn()
+      if (!this.#isCongested) return
+      this.#isCongested = false
+      this.#events.congestionEnded(this)
+      this.#startRequests()
+      this.#resumeReading()
     })
     socket.on('error', () => undefined)
     socket.once('close', () => {
@@ -208,71 +208,71 @@
   #close(): void {
     this.#phase = 'closed'
     this.statements.clear()
-    this.#events.closed(this, this.#intake.takeAll())
+    this.#events.closed(this, this.#requests.clear())
   }
 
-  #leave(lastWords: Buffer): void {
-    if (this.#phase === 'closed' || this.#phase === 'leaving') return
-    this.#socket.end(lastWords)
-    this.#phase = 'leaving'
-    // Bytes that nobody reads would make the kernel reset the connection before the error arrives.
+  #closeWith(error: Buffer): void {
+    if (this.#phase === 'closed' || this.#phase === 'closing') return
+    this.#socket.end(error)
+    this.#phase = 'closing'
+    // Unread received bytes would make the kernel reset the connection before the error is delivered.
     this.#socket.resume()
-    this.#socket.setTimeout(FAREWELL_MILLISECONDS, () => this.#socket.destroy())
+    this.#socket.setTimeout(CLOSE_TIMEOUT_MILLISECONDS, () => this.#socket.destroy())
   }
 
-  #leaveWhenIdle(): void {
+  #closeWhenIdle(): void {
     if (this.#phase === 'startup') {
       this.fail({ reason: 'stopping' })
       return
     }
-    if (this.#phase !== 'ready' || !this.#intake.isEmpty) return
+    if (this.#phase !== 'ready' || !this.#requests.isEmpty) return
     if (this.#status === TransactionStatus.idle) this.fail({ reason: 'stopping' })
   }
 
   #pauseIfFull(): void {
-    if (this.#paused || this.#phase !== 'ready' || !this.#intake.isFull()) return
+    if (this.#paused || this.#phase !== 'ready' || !this.#requests.isFull()) return
     this.#paused = true
     this.#socket.pause()
   }
 
-  #readOn(): void {
-    if (!this.#paused || this.#intake.isFull()) return
+  #resumeReading(): void {
+    if (!this.#paused || this.#requests.isFull()) return
     this.#frames.drain(this)
-    this.#pump()
-    if (this.#intake.isFull()) return
+    this.#startRequests()
+    if (this.#requests.isFull()) return
     this.#paused = false
     this.#socket.resume()
   }
 
   #readStartup(packet: Buffer): void {
-    const reading = readStartupPacket(packet)
-    switch (reading.kind) {
+    const message = readStartupPacket(packet)
+    switch (message.kind) {
       case 'encryption':
         this.#socket.write(ENCRYPTION_REFUSED)
         return
       case 'cancel':
-        this.#events.cancel(reading)
-        this.#phase = 'leaving'
+        this.#events.cancel(message)
+        this.#phase = 'closing'
         this.#socket.end()
         return
       case 'unsupportedVersion':
-        this.fail({ reason: 'unsupported', detail: reading.detail })
+        this.fail({ reason: 'unsupported', detail: message.detail })
         return
       case 'malformed':
-        this.fail({ reason: 'malformed', detail: reading.detail })
+        this.fail({ reason: 'malformed', detail: message.detail })
         return
       case 'startup':
-        this.#welcome(reading.parameters, reading.minorVersion)
+        this.#completeStartup(message.parameters, message.minorVersion)
     }
   }
 
-  #welcome(parameters: ReadonlyMap<string, string>, minorVersion: number): void {
-    const reading = readIdentity(parameters)
-    if (reading.kind === 'mistake') {
-      this.fail({ reason: reading.mistake.kind, detail: reading.mistake.detail })
+  #completeStartup(parameters: ReadonlyMap<string, string>, minorVersion: number): void {
+    const result = readIdentity(parameters)
+    if (result.kind === 'error') {
+      this.fail({ reason: result.error.kind, detail: result.error.detail })
       return
     }
-    const { identity } = reading
+    const { identity } = result
     const refusal = this.#events.admit(this, identity)
     if (refusal !== null) {
       this.fail(refusal)
@@ -284,14 +284,16 @@
     this.#socket.setTimeout(0)
     const statuses = this.#events.parametersOf(identity)
     const unknownOptions = [...parameters.keys()].filter(name => name.startsWith('_pq_.'))
-    this.#socket.write(writeGreeting({ statuses, key: this.key, minorVersion, unknownOptions }))
-    if (identity.settings.length > 0) this.#intake.add(this.#settingsRequest(identity))
-    else if (this.#draining) this.#leaveWhenIdle()
+    this.#socket.write(
+      encodeStartupResponse({ statuses, key: this.key, minorVersion, unknownOptions }),
+    )
+    if (identity.settings.length > 0) this.#requests.add(this.#settingsRequest(identity))
+    else if (this.#draining) this.#closeWhenIdle()
   }
 
   /**
-   * Settings of the startup packet run once as a request of the caller's own, ahead of all others: a
-   * mistake in them ends this caller's connection, in place of every connection that it would run on.
+   * Settings of the startup packet run once as the caller's first request, so that an invalid setting
+   * closes this caller's connection instead of every backend connection that would apply it.
    */
   #settingsRequest(identity: CallerIdentity): CallerRequest {
     const frame = queryMessage(identity.settings.join('; '))
@@ -303,18 +305,18 @@
   #readMessage(frame: Buffer): void {
     const type = frame[0] ?? 0
     if (isExtended(type)) {
-      this.#failIf(this.#intake.readExtended(frame))
+      this.#failIf(this.#requests.readExtended(frame))
       return
     }
     switch (type) {
       case CallerMessage.query:
-        this.#failIf(this.#intake.readQuery(frame))
+        this.#failIf(this.#requests.readQuery(frame))
         return
       case CallerMessage.flush:
-        this.#intake.readFlush(frame)
+        this.#requests.readFlush(frame)
         return
       case CallerMessage.sync:
-        this.#intake.readSync(frame)
+        this.#requests.readSync(frame)
         return
       case CallerMessage.terminate:
         this.#terminating = true
@@ -322,7 +324,7 @@
       case CallerMessage.copyData:
       case CallerMessage.copyDone:
       case CallerMessage.copyFail:
-        // What was on its way when a COPY was refused; PostgreSQL ignores it too.
+        // Sent before the caller received the refusal of its COPY; PostgreSQL ignores these too.
         return
       case CallerMessage.functionCall:
         this.#refuseFunctionCall()
@@ -332,12 +334,12 @@
     }
   }
 
-  #failIf(mistake: Refusal | null): void {
-    if (mistake !== null) this.fail(mistake)
+  #failIf(refusal: Refusal | null): void {
+    if (refusal !== null) this.fail(refusal)
   }
 
   #refuseFunctionCall(): void {
-    this.#leave(
+    this.#closeWith(
       errorResponse({
         severity: 'FATAL',
         sqlState: '0A000',
@@ -346,19 +348,19 @@
     )
   }
 
-  /** Starts the request at the head, if the caller takes answers. */
-  #pump(): void {
-    if (this.#pumping) return
-    this.#pumping = true
-    while (this.#phase === 'ready' && !this.#congested) {
-      const request = this.#intake.head
+  /** Starts the request at the head unless the caller is congested. */
+  #startRequests(): void {
+    if (this.#isStartingRequests) return
+    this.#isStartingRequests = true
+    while (this.#phase === 'ready' && !this.#isCongested) {
+      const request = this.#requests.head
       if (request === null || request.started) break
       request.started = true
       this.#events.start(this, request)
     }
-    this.#pumping = false
-    if (this.#intake.head !== null || this.#phase !== 'ready') return
+    this.#isStartingRequests = false
+    if (this.#requests.head !== null || this.#phase !== 'ready') return
     if (this.#terminating) this.#socket.end()
-    else if (this.#draining) this.#leaveWhenIdle()
+    else if (this.#draining) this.#closeWhenIdle()
   }
 }
--- a/packages/proxy/src/callerRegistry.ts
+++ b/packages/proxy/src/callerRegistry.ts
@@ -3,25 +3,25 @@
 import type { Socket } from 'node:net'
 import { refusalResponse } from '@nutmegcourse/protocol'
 import { CallerConnection, type CallerEvents, type CallerOptions } from './callerConnection.js'
-import type { CancelKey } from './callerGreeting.js'
+import type { CancelKey } from './callerStartupResponse.js'
 import { StatementCatalog } from './statementCatalog.js'
 
 const KEY_LIMIT = 0x7fff_ffff
 /** Time for a caller beyond the limit to take its refusal. */
-const FAREWELL_MILLISECONDS = 2000
+const CLOSE_TIMEOUT_MILLISECONDS = 2000
 const RETRY_AFTER_MILLISECONDS = 1000
 
-export interface RegistryOptions extends CallerOptions {
+export interface CallerRegistryOptions extends CallerOptions {
   readonly callerLimit: number
 }
 
 export class CallerRegistry {
-  readonly #options: RegistryOptions
+  readonly #options: CallerRegistryOptions
   readonly #events: CallerEvents
   readonly #catalog = new StatementCatalog()
   readonly #callers = new Map<number, CallerConnection>()
 
-  constructor(options: RegistryOptions, events: CallerEvents) {
+  constructor(options: CallerRegistryOptions, events: CallerEvents) {
     this.#options = options
     this.#events = events
   }
@@ -45,7 +45,7 @@
   /** Null, and the caller is told, when there are as many as may be. */
   add(socket: Socket): CallerConnection | null {
     if (this.#callers.size >= this.#options.callerLimit) {
-      turnAway(socket)
+      refuseConnection(socket)
       return null
     }
     const key = this.#newKey()
@@ -68,7 +68,7 @@
     for (const caller of this.#callers.values()) caller.drain()
   }
 
-  cut(): void {
+  destroyAll(): void {
     for (const caller of this.#callers.values()) caller.destroy()
   }
 
@@ -80,11 +80,11 @@
   }
 }
 
-function turnAway(socket: Socket): void {
+function refuseConnection(socket: Socket): void {
   const retryAfterMilliseconds = RETRY_AFTER_MILLISECONDS
   socket.on('error', () => undefined)
   socket.end(refusalResponse({ reason: 'too_many_callers', retryAfterMilliseconds }, 'FATAL'))
   // Bytes that nobody reads would make the kernel reset the connection before the error arrives.
   socket.resume()
-  socket.setTimeout(FAREWELL_MILLISECONDS, () => socket.destroy())
+  socket.setTimeout(CLOSE_TIMEOUT_MILLISECONDS, () => socket.destroy())
 }
--- a/packages/proxy/src/callerRequest.ts
+++ b/packages/proxy/src/callerRequest.ts
@@ -25,7 +25,7 @@
   /** Set once, when the core is told. */
   class: ClassName | null = null
   /** The answer that the caller gets in place of a broken connection's. */
-  replacement: Refusal | null = null
+  replacementRefusal: Refusal | null = null
   /** The caller knows nothing of a request that the proxy makes for it. */
   purpose: 'statement' | 'startupSettings' = 'statement'
   started = false
@@ -71,7 +71,7 @@
   }
 
   /** Its statement's text, when it has exactly one. */
-  get onlyText(): string | null {
+  get singleStatementText(): string | null {
     if (this.shape.kind === 'simple') {
       const { frame } = this.shape
       return frame.toString('utf8', FRAME_HEADER_BYTES, frame.length - 1)
--- a/packages/proxy/src/callerStartup.ts
+++ b/packages/proxy/src/callerStartup.ts
@@ -1,4 +1,4 @@
-/** What a caller says of itself when it connects, and which class and session follow from it. */
+/** Reads a caller's identity, class, session and settings from its startup parameters. */
 import { readStartupOptions, type Targets } from '@nutmegcourse/protocol'
 import {
   className,
@@ -8,46 +8,46 @@
   type DatabaseId,
   type SessionId,
 } from '@nutmegcourse/shared'
-import { readStartupSettings } from './callerSettings.js'
+import { toSetStatements } from './callerSettings.js'
 
 export interface CallerIdentity {
   readonly user: string
   readonly database: DatabaseId
   readonly applicationName: string
-  /** Named in the connection's options; null when defaults decide. */
+  /** Named in the connection's options; null if the targets' defaults apply. */
   readonly class: ClassName | null
-  /** Named in the connection's options; null for a session that is this connection's alone. */
+  /** Named in the connection's options; null for a session limited to this connection. */
   readonly session: SessionId | null
-  /** SET statements that have the effect of the startup parameters. */
+  /** SET statements equivalent to the startup parameters. */
   readonly settings: readonly string[]
 }
 
-export type StartupMistake =
+export type StartupError =
   | { readonly kind: 'malformed'; readonly detail: string }
   | { readonly kind: 'unsupported'; readonly detail: string }
 
-export type StartupReading =
+export type StartupResult =
   | { readonly kind: 'identity'; readonly identity: CallerIdentity }
-  | { readonly kind: 'mistake'; readonly mistake: StartupMistake }
+  | { readonly kind: 'error'; readonly error: StartupError }
 
 const CLASS_OPTION = 'nutmegcourse.class'
 const SESSION_OPTION = 'nutmegcourse.session'
-/** Session names travel in logs and messages. */
+/** Characters. Session names are part of logs and messages. */
 const SESSION_NAME_LIMIT = 200
 const NOT_REPLICATION = new Set(['', 'false', 'off', 'no', '0'])
 
-export function readIdentity(parameters: ReadonlyMap<string, string>): StartupReading {
+export function readIdentity(parameters: ReadonlyMap<string, string>): StartupResult {
   const user = parameters.get('user') ?? ''
-  if (user === '') return mistake('malformed', 'a startup packet without a user')
+  if (user === '') return failure('malformed', 'a startup packet without a user')
   if (!NOT_REPLICATION.has(parameters.get('replication') ?? '')) {
-    return mistake('unsupported', 'replication connections')
+    return failure('unsupported', 'replication connections')
   }
   const options = readStartupOptions(parameters.get('options') ?? '')
   const find = (name: string): string | undefined => options.get(name) ?? parameters.get(name)
   const classText = find(CLASS_OPTION)
   const sessionText = find(SESSION_OPTION)
   if (sessionText !== undefined && sessionText.length > SESSION_NAME_LIMIT) {
-    return mistake('malformed', `${SESSION_OPTION} is longer than ${SESSION_NAME_LIMIT}`)
+    return failure('malformed', `${SESSION_OPTION} is longer than ${SESSION_NAME_LIMIT}`)
   }
   return {
     kind: 'identity',
@@ -57,16 +57,16 @@
       applicationName: parameters.get('application_name') ?? '',
       class: classText === undefined ? null : className(classText),
       session: sessionText === undefined || sessionText === '' ? null : sessionId(sessionText),
-      settings: [...readStartupSettings(parameters), ...readStartupSettings(options)],
+      settings: [...toSetStatements(parameters), ...toSetStatements(options)],
     },
   }
 }
 
-function mistake(kind: StartupMistake['kind'], detail: string): StartupReading {
-  return { kind: 'mistake', mistake: { kind, detail } }
+function failure(kind: StartupError['kind'], detail: string): StartupResult {
+  return { kind: 'error', error: { kind, detail } }
 }
 
-/** The class by the operators' defaults; null when none fits. */
+/** The class of the first default that matches the caller; null if none matches. */
 export function findDefaultClass(targets: Targets, identity: CallerIdentity): ClassName | null {
   const found = targets.defaults.find(
     entry =>
@@ -77,8 +77,8 @@
   return found?.class ?? null
 }
 
-/** What callers are told of the server until a backend server has told its own. */
-const STANDARD_PARAMETERS: ReadonlyMap<string, string> = new Map([
+/** ParameterStatus values for callers until a backend server has reported its own. */
+const DEFAULT_PARAMETERS: ReadonlyMap<string, string> = new Map([
   ['server_version', '16.0'],
   ['server_encoding', 'UTF8'],
   ['client_encoding', 'UTF8'],
@@ -90,13 +90,13 @@
   ['is_superuser', 'off'],
 ])
 
-/** ParameterStatus values for a caller: the server's own where known, the caller's name and user always. */
-export function describeParameters(
+/** ParameterStatus values for a caller: the server's own if known, with the caller's user and application. */
+export function parametersForCaller(
   identity: CallerIdentity,
   server: ReadonlyMap<string, string>,
 ): ReadonlyMap<string, string> {
   return new Map([
-    ...STANDARD_PARAMETERS,
+    ...DEFAULT_PARAMETERS,
     ...server,
     ['application_name', identity.applicationName],
     ['session_authorization', identity.user],
--- a/packages/proxy/src/callerGreeting.ts
+++ b/packages/proxy/src/callerStartupResponse.ts
@@ -14,7 +14,7 @@
   readonly secret: number
 }
 
-export interface Greeting {
+export interface StartupResponse {
   /** ParameterStatus values. */
   readonly statuses: ReadonlyMap<string, string>
   readonly key: CancelKey
@@ -24,10 +24,10 @@
   readonly unknownOptions: readonly string[]
 }
 
-export function writeGreeting(greeting: Greeting): Buffer {
-  const { key, minorVersion, unknownOptions } = greeting
+export function encodeStartupResponse(response: StartupResponse): Buffer {
+  const { key, minorVersion, unknownOptions } = response
   const negotiates = minorVersion > 0 || unknownOptions.length > 0
-  const statuses = [...greeting.statuses].map(([name, value]) => parameterStatus(name, value))
+  const statuses = [...response.statuses].map(([name, value]) => parameterStatus(name, value))
   return Buffer.concat([
     ...(negotiates ? [negotiateProtocolVersion(unknownOptions)] : []),
     AUTHENTICATION_OK,
--- a/packages/proxy/src/callerTransactions.ts
+++ b/packages/proxy/src/callerTransactions.ts
@@ -4,7 +4,7 @@
 import type { CallerConnection } from './callerConnection.js'
 
 /** How a request runs; the statements of a transaction run as its first one did. */
-export interface RunManner {
+export interface RunMode {
   readonly readOnly: boolean
   readonly holdAnswer: boolean
 }
@@ -15,11 +15,11 @@
   | {
       readonly kind: 'pinned'
       readonly connection: BackendConnection
-      readonly manner: RunManner
+      readonly mode: RunMode
       readonly class: ClassName | null
     }
   /** Its connection is gone; `told` once the caller has had an error for it. */
-  | { readonly kind: 'lost'; readonly told: boolean }
+  | { readonly kind: 'lost'; readonly isReported: boolean }
 
 export type PinnedTransaction = Extract<CallerTransaction, { kind: 'pinned' }>
 
@@ -27,41 +27,41 @@
 
 export class CallerTransactions {
   readonly #byCaller = new Map<CallerConnection, CallerTransaction>()
-  readonly #holders = new Map<BackendConnection, CallerConnection>()
+  readonly #callersByConnection = new Map<BackendConnection, CallerConnection>()
 
   /** How many are open. */
   get openCount(): number {
-    return this.#holders.size
+    return this.#callersByConnection.size
   }
 
-  of(caller: CallerConnection): CallerTransaction {
+  get(caller: CallerConnection): CallerTransaction {
     return this.#byCaller.get(caller) ?? NO_TRANSACTION
   }
 
   pin(caller: CallerConnection, transaction: Omit<PinnedTransaction, 'kind'>): void {
     this.#byCaller.set(caller, { kind: 'pinned', ...transaction })
-    this.#holders.set(transaction.connection, caller)
+    this.#callersByConnection.set(transaction.connection, caller)
   }
 
   /** It is over, and its connection is nobody's. */
   end(caller: CallerConnection): void {
-    this.#release(caller)
+    this.#unpin(caller)
     this.#byCaller.delete(caller)
   }
 
-  lose(caller: CallerConnection, told: boolean): void {
-    this.#release(caller)
-    this.#byCaller.set(caller, { kind: 'lost', told })
+  markLost(caller: CallerConnection, isReported: boolean): void {
+    this.#unpin(caller)
+    this.#byCaller.set(caller, { kind: 'lost', isReported: isReported })
   }
 
   /** A connection is gone; a transaction on it is lost. */
-  connectionGone(connection: BackendConnection): void {
-    const holder = this.#holders.get(connection)
-    if (holder !== undefined) this.lose(holder, false)
+  handleConnectionClosed(connection: BackendConnection): void {
+    const caller = this.#callersByConnection.get(connection)
+    if (caller !== undefined) this.markLost(caller, false)
   }
 
-  #release(caller: CallerConnection): void {
+  #unpin(caller: CallerConnection): void {
     const known = this.#byCaller.get(caller)
-    if (known?.kind === 'pinned') this.#holders.delete(known.connection)
+    if (known?.kind === 'pinned') this.#callersByConnection.delete(known.connection)
   }
 }
--- a/packages/proxy/src/cancelSender.ts
+++ b/packages/proxy/src/cancelSender.ts
@@ -2,7 +2,7 @@
 import { connect } from 'node:net'
 import { cancelRequest, type ListedBackendServer } from '@nutmegcourse/protocol'
 
-export interface ServerKey {
+export interface BackendKey {
   readonly processId: number
   readonly secret: number
 }
@@ -10,21 +10,21 @@
 /** Resolves with whether the server has taken it, which shows by the server closing the connection. */
 export function sendCancel(
   server: ListedBackendServer,
-  key: ServerKey,
+  key: BackendKey,
   timeoutMilliseconds: number,
 ): Promise<boolean> {
   return new Promise(resolve => {
     const socket = connect({ host: server.address, port: server.port })
-    let taken = false
+    let isAccepted = false
     socket.setTimeout(timeoutMilliseconds, () => socket.destroy())
     socket.on('connect', () => socket.write(cancelRequest(key.processId, key.secret)))
     socket.on('error', () => undefined)
     socket.on('end', () => {
-      taken = true
+      isAccepted = true
     })
     socket.resume()
     socket.once('close', () => {
-      resolve(taken || socket.bytesWritten === 0)
+      resolve(isAccepted || socket.bytesWritten === 0)
     })
   })
 }
--- a/packages/proxy/src/connectionSetup.ts
+++ b/packages/proxy/src/connectionSetup.ts
@@ -1,6 +1,6 @@
 /** What a backend connection has of its session, and what makes it what the next request needs. */
 import { queryMessage } from '@nutmegcourse/protocol'
-import { CLEAN_KEY, type CallerSettings } from './callerSettings.js'
+import { DEFAULT_SETTINGS_KEY, type CallerSettings } from './callerSettings.js'
 import type { ConnectionStatements } from './connectionStatements.js'
 
 const DISCARD_ALL = queryMessage('DISCARD ALL')
@@ -15,7 +15,7 @@
 export class ConnectionSetup {
   readonly #statements: ConnectionStatements
   #mode: 'unknown' | keyof typeof MODE_MESSAGES = 'unknown'
-  #settingsKey = CLEAN_KEY
+  #settingsKey = DEFAULT_SETTINGS_KEY
 
   constructor(statements: ConnectionStatements) {
     this.#statements = statements
@@ -24,7 +24,7 @@
   /** The queries that must run ahead of a request, taken as done from here on. */
   prepare(settings: CallerSettings, readOnly: boolean): Buffer[] {
     const queries: Buffer[] = []
-    if (this.#settingsKey !== settings.key) this.#change(settings, queries)
+    if (this.#settingsKey !== settings.key) this.#switchSettings(settings, queries)
     const mode = readOnly ? 'readOnly' : 'readWrite'
     if (this.#mode !== mode) queries.push(MODE_MESSAGES[mode])
     this.#mode = mode
@@ -37,28 +37,28 @@
   }
 
   /** The request that just ended set the connection up as its caller wants it. */
-  adopt(settings: CallerSettings): void {
+  recordSettings(settings: CallerSettings): void {
     this.#settingsKey = settings.key
     this.#mode = 'unknown'
   }
 
   /** The request that just ended reset everything, prepared statements too. */
-  noteDiscarded(): void {
-    this.#settingsKey = CLEAN_KEY
+  recordDiscardAll(): void {
+    this.#settingsKey = DEFAULT_SETTINGS_KEY
     this.#mode = 'unknown'
     this.#statements.clear()
   }
 
-  noteDeallocated(): void {
+  recordDeallocateAll(): void {
     this.#statements.clear()
   }
 
-  #change(settings: CallerSettings, queries: Buffer[]): void {
-    if (this.#settingsKey !== CLEAN_KEY) {
+  #switchSettings(settings: CallerSettings, queries: Buffer[]): void {
+    if (this.#settingsKey !== DEFAULT_SETTINGS_KEY) {
       queries.push(DISCARD_ALL)
       this.#statements.clear()
     }
     for (const statement of settings.statements) queries.push(queryMessage(statement))
-    this.adopt(settings)
+    this.recordSettings(settings)
   }
 }
--- a/packages/proxy/src/connectionStatements.ts
+++ b/packages/proxy/src/connectionStatements.ts
@@ -1,17 +1,17 @@
 /** Which of the proxy's prepared statements one backend connection holds, least recently used first. */
 
 /** Plans cost a backend server memory, so a connection keeps a bounded number of them. */
-export const STATEMENTS_KEPT = 256
+export const STATEMENT_LIMIT = 256
 
 export class ConnectionStatements {
   readonly #limit: number
   readonly #names = new Set<string>()
 
-  constructor(limit = STATEMENTS_KEPT) {
+  constructor(limit = STATEMENT_LIMIT) {
     this.#limit = limit
   }
 
-  holds(name: string): boolean {
+  touch(name: string): boolean {
     if (!this.#names.delete(name)) return false
     this.#names.add(name)
     return true
@@ -31,13 +31,13 @@
   }
 
   /** Takes out what is over the limit, for the caller of this method to close on the server. */
-  takeSurplus(): readonly string[] {
-    const surplus: string[] = []
+  evictOverLimit(): readonly string[] {
+    const evicted: string[] = []
     for (const name of this.#names) {
       if (this.#names.size <= this.#limit) break
       this.#names.delete(name)
-      surplus.push(name)
+      evicted.push(name)
     }
-    return surplus
+    return evicted
   }
 }
--- a/packages/proxy/src/coreDriver.ts
+++ b/packages/proxy/src/coreDriver.ts
@@ -9,7 +9,7 @@
 export type EffectRunner = (effect: ProxyEffect) => void
 
 /** An empty wake slot. */
-const NEVER = Number.POSITIVE_INFINITY
+const NOT_SCHEDULED = Number.POSITIVE_INFINITY
 /** Timers of Node fire up to a millisecond early; a tick before its time would be lost work. */
 const TIMER_SLACK_MILLISECONDS = 1
 
@@ -17,11 +17,11 @@
   readonly #core: DecisionCore
   readonly #clock: Clock
   readonly #runEffect: EffectRunner
-  #waiting: ProxyMessage[] = []
-  #afterwards: (() => void)[] = []
-  #working = false
+  #queue: ProxyMessage[] = []
+  #deferredActions: (() => void)[] = []
+  #isProcessing = false
   #timer: NodeJS.Timeout | null = null
-  #armedFor = NEVER
+  #timerDueAt = NOT_SCHEDULED
 
   constructor(core: DecisionCore, clock: Clock, runEffect: EffectRunner) {
     this.#core = core
@@ -35,41 +35,41 @@
 
   /** Messages sent while an effect is carried out wait until the effects before them are done. */
   send(message: ProxyMessage): void {
-    this.#waiting.push(message)
-    if (!this.#working) this.#work()
+    this.#queue.push(message)
+    if (!this.#isProcessing) this.#process()
   }
 
   /** Runs once every effect of the messages at hand is carried out. */
   afterEffects(action: () => void): void {
-    this.#afterwards.push(action)
-    if (!this.#working) this.#work()
+    this.#deferredActions.push(action)
+    if (!this.#isProcessing) this.#process()
   }
 
   stop(): void {
     if (this.#timer !== null) clearTimeout(this.#timer)
     this.#timer = null
-    this.#armedFor = NEVER
+    this.#timerDueAt = NOT_SCHEDULED
   }
 
-  #work(): void {
-    this.#working = true
+  #process(): void {
+    this.#isProcessing = true
     try {
-      while (this.#waiting.length > 0 || this.#afterwards.length > 0) this.#workOnce()
+      while (this.#queue.length > 0 || this.#deferredActions.length > 0) this.#processQueue()
     } finally {
-      this.#working = false
+      this.#isProcessing = false
     }
     this.#armTimer()
   }
 
-  #workOnce(): void {
-    const messages = this.#waiting
-    this.#waiting = []
+  #processQueue(): void {
+    const messages = this.#queue
+    this.#queue = []
     for (const message of messages) {
       for (const effect of this.#core.handle(message, this.#clock.now())) this.#runEffect(effect)
     }
-    if (this.#waiting.length > 0) return
-    const actions = this.#afterwards
-    this.#afterwards = []
+    if (this.#queue.length > 0) return
+    const actions = this.#deferredActions
+    this.#deferredActions = []
     for (const action of actions) action()
   }
 
@@ -77,13 +77,13 @@
   #armTimer(): void {
     const now = this.#clock.now()
     const wake = this.#core.nextWake(now)
-    if (wake === null || wake >= this.#armedFor) return
+    if (wake === null || wake >= this.#timerDueAt) return
     if (this.#timer !== null) clearTimeout(this.#timer)
-    this.#armedFor = wake
+    this.#timerDueAt = wake
     const wait = Math.max(0, Math.ceil(wake - now)) + TIMER_SLACK_MILLISECONDS
     this.#timer = setTimeout(() => {
       this.#timer = null
-      this.#armedFor = NEVER
+      this.#timerDueAt = NOT_SCHEDULED
       this.send({ kind: 'tick' })
     }, wait)
   }
--- a/packages/proxy/src/lostTransaction.ts
+++ b/packages/proxy/src/lostTransaction.ts
@@ -20,7 +20,7 @@
 } from '@nutmegcourse/protocol'
 import type { CallerRequest } from './callerRequest.js'
 import type { RequestStep } from './requestSteps.js'
-import { readTransactionEnd } from './transactionWords.js'
+import { readTransactionEnd } from './transactionCommands.js'
 
 export interface LocalReply {
   readonly bytes: Buffer
@@ -36,13 +36,13 @@
 })
 
 /** `told`: the caller knows already that its transaction is lost. */
-export function replyInLostTransaction(request: CallerRequest, told: boolean): LocalReply {
-  const text = request.onlyText
+export function replyInLostTransaction(request: CallerRequest, isReported: boolean): LocalReply {
+  const text = request.singleStatementText
   const end = text === null ? null : readTransactionEnd(text)
-  if (end === 'rollback' || (end === 'commit' && told)) return rolledBack(request)
+  if (end === 'rollback' || (end === 'commit' && isReported)) return rolledBack(request)
   // A COMMIT must never look like one: it gets an error, and its transaction is over.
   const status = end === 'commit' ? TransactionStatus.idle : TransactionStatus.failed
-  const error = told ? FAILED_TRANSACTION : refusalResponse({ reason: 'transaction_lost' })
+  const error = isReported ? FAILED_TRANSACTION : refusalResponse({ reason: 'transaction_lost' })
   return { bytes: Buffer.concat([error, readyForQuery(status)]), status }
 }
 
@@ -53,7 +53,7 @@
   return { bytes: Buffer.concat([...answers, readyForQuery(status)]), status }
 }
 
-const LETTER_STATEMENT = 0x53
+const STATEMENT_KIND = 0x53
 
 function answerToStep(step: RequestStep): readonly Buffer[] {
   if (step.kind === 'closeStatement') return [CLOSE_COMPLETE]
@@ -68,7 +68,7 @@
     case CallerMessage.execute:
       return [ROLLED_BACK]
     case CallerMessage.describe:
-      return frame[FRAME_HEADER_BYTES] === LETTER_STATEMENT ? [NO_PARAMETERS, NO_DATA] : [NO_DATA]
+      return frame[FRAME_HEADER_BYTES] === STATEMENT_KIND ? [NO_PARAMETERS, NO_DATA] : [NO_DATA]
     default:
       return []
   }
--- a/packages/proxy/src/main.ts
+++ b/packages/proxy/src/main.ts
@@ -26,12 +26,12 @@
     return
   }
   if (values.settings === undefined) {
-    leave(HELP)
+    exitWithUsageError(HELP)
     return
   }
   const settings = await readYamlFile(values.settings, proxySettingsSchema)
   if (settings.isErr()) {
-    leave(formatSettingsError(settings.error))
+    exitWithUsageError(formatSettingsError(settings.error))
     return
   }
   const proxy = new ProxyProcess(settings.value)
@@ -45,7 +45,7 @@
   process.on('SIGINT', stop)
 }
 
-function leave(text: string): void {
+function exitWithUsageError(text: string): void {
   console.error(text)
   process.exitCode = EXIT_USAGE
 }
--- a/packages/proxy/src/positionQuestions.ts
+++ b/packages/proxy/src/positionQueries.ts
@@ -1,52 +1,52 @@
 /**
- * Asks backend servers for their log positions, one question outstanding a server. Writes that wait for
- * confirmation and reads that wait for a bound all share it.
+ * Queries backend servers for their log positions, with one outstanding query per server. Its answer is
+ * shared by all writes that wait for confirmation and all reads that wait for a bound.
  */
 import type { ListedBackendServer, PositionReport } from '@nutmegcourse/protocol'
 import type { BackendServerId, Milliseconds, RandomSource } from '@nutmegcourse/shared'
 import { ControlConnection } from '@nutmegcourse/transport'
 import type { ResultAsync } from 'neverthrow'
 import { Backoff } from './backoff.js'
-import { toLinkError, type LinkError } from './proxyError.js'
+import { toLinkError, type LinkError } from './linkError.js'
 
-export interface PositionEvents {
+export interface PositionQueryEvents {
   answered(server: BackendServerId, report: PositionReport, askedAt: Milliseconds): void
   failed(server: BackendServerId, askedAt: Milliseconds, error: LinkError): void
 }
 
-export interface PositionOptions {
+export interface PositionQueryOptions {
   readonly user: string
   readonly connectTimeoutMilliseconds: number
   readonly questionTimeoutMilliseconds: number
 }
 
-const REOPENING = { firstMilliseconds: 20, longestMilliseconds: 500 }
+const RECONNECT_BACKOFF = { firstMilliseconds: 20, longestMilliseconds: 500 }
 
-/** The question connection of one backend server. */
-class ServerQuestions {
+/** Queries one backend server over a connection of its own. */
+class ServerPositionQueries {
   readonly #server: ListedBackendServer
-  readonly #owner: PositionQuestions
+  readonly #owner: PositionQueries
   readonly #backoff: Backoff
   #connection: ControlConnection | null = null
   #outstanding = false
-  /** Asked again meanwhile: an answer to a question sent earlier does not serve it. */
-  #askedAgain = false
+  /** Requested while a query was outstanding, whose answer may predate the request. */
+  #queryAgain = false
   #timer: NodeJS.Timeout | null = null
   #closed = false
 
-  constructor(server: ListedBackendServer, owner: PositionQuestions) {
+  constructor(server: ListedBackendServer, owner: PositionQueries) {
     this.#server = server
     this.#owner = owner
-    this.#backoff = new Backoff(REOPENING, owner.random)
+    this.#backoff = new Backoff(RECONNECT_BACKOFF, owner.random)
   }
 
-  isFor(server: ListedBackendServer): boolean {
+  hasAddressOf(server: ListedBackendServer): boolean {
     return this.#server.address === server.address && this.#server.port === server.port
   }
 
-  ask(): void {
+  query(): void {
     if (this.#outstanding) {
-      this.#askedAgain = true
+      this.#queryAgain = true
       return
     }
     this.#outstanding = true
@@ -61,21 +61,21 @@
 
   #send(): void {
     const askedAt = this.#owner.now()
-    void this.#question().match(
+    void this.#readPosition().match(
       report => {
-        this.#backoff.succeeded()
+        this.#backoff.reset()
         if (!this.#closed) this.#owner.events.answered(this.#server.id, report, askedAt)
-        this.#next()
+        this.#finish()
       },
       error => {
         if (this.#closed) return
         this.#owner.events.failed(this.#server.id, askedAt, error)
-        this.#retreat()
+        this.#finishAfterDelay()
       },
     )
   }
 
-  #question(): ResultAsync<PositionReport, LinkError> {
+  #readPosition(): ResultAsync<PositionReport, LinkError> {
     const { options } = this.#owner
     const connection = this.#connection
     if (connection !== null && !connection.closed) {
@@ -94,32 +94,32 @@
       .mapErr(toLinkError)
   }
 
-  #next(): void {
+  #finish(): void {
     this.#outstanding = false
-    if (!this.#askedAgain || this.#closed) return
-    this.#askedAgain = false
-    this.ask()
+    if (!this.#queryAgain || this.#closed) return
+    this.#queryAgain = false
+    this.query()
   }
 
-  /** A server that refuses at once must not be asked in a busy loop. */
-  #retreat(): void {
+  /** Delays the next query, so that a server that refuses immediately is not queried in a busy loop. */
+  #finishAfterDelay(): void {
     this.#timer = setTimeout(() => {
       this.#timer = null
-      this.#next()
-    }, this.#backoff.failed())
+      this.#finish()
+    }, this.#backoff.nextDelayMilliseconds())
   }
 }
 
-export class PositionQuestions {
-  readonly options: PositionOptions
-  readonly events: PositionEvents
+export class PositionQueries {
+  readonly options: PositionQueryOptions
+  readonly events: PositionQueryEvents
   readonly random: RandomSource
   readonly now: () => Milliseconds
-  readonly #servers = new Map<BackendServerId, ServerQuestions>()
+  readonly #servers = new Map<BackendServerId, ServerPositionQueries>()
 
   constructor(
-    options: PositionOptions,
-    events: PositionEvents,
+    options: PositionQueryOptions,
+    events: PositionQueryEvents,
     random: RandomSource,
     now: () => Milliseconds,
   ) {
@@ -129,29 +129,29 @@
     this.now = now
   }
 
-  ask(server: ListedBackendServer): void {
-    let questions = this.#servers.get(server.id)
-    if (questions?.isFor(server) === false) {
-      questions.close()
-      questions = undefined
+  query(server: ListedBackendServer): void {
+    let queries = this.#servers.get(server.id)
+    if (queries?.hasAddressOf(server) === false) {
+      queries.close()
+      queries = undefined
     }
-    if (questions === undefined) {
-      questions = new ServerQuestions(server, this)
-      this.#servers.set(server.id, questions)
+    if (queries === undefined) {
+      queries = new ServerPositionQueries(server, this)
+      this.#servers.set(server.id, queries)
     }
-    questions.ask()
+    queries.query()
   }
 
   /** Closes the connections to servers that are no longer listed. */
-  keepOnly(listed: (server: BackendServerId) => boolean): void {
-    for (const [id, questions] of this.#servers) {
-      if (listed(id)) continue
-      questions.close()
+  closeUnlisted(isListed: (server: BackendServerId) => boolean): void {
+    for (const [id, queries] of this.#servers) {
+      if (isListed(id)) continue
+      queries.close()
       this.#servers.delete(id)
     }
   }
 
   close(): void {
-    this.keepOnly(() => false)
+    this.closeUnlisted(() => false)
   }
 }
--- a/packages/proxy/src/proxyProcess.ts
+++ b/packages/proxy/src/proxyProcess.ts
@@ -1,4 +1,4 @@
-/** The proxy as a process: its settings, core, agent and listener joined, and its graceful shutdown. */
+/** Connects the proxy's settings, core, agent link and listener, and shuts them down gracefully. */
 import type { Server } from 'node:net'
 import { Metrics, createLog, type Log } from '@nutmegcourse/observability'
 import type { ProxySettings } from '@nutmegcourse/settings'
@@ -8,8 +8,8 @@
 import { AgentLink } from './agentLink.js'
 import { ProxyShell, type ShellLog } from './proxyShell.js'
 
-/** Longest wait for the agent's first word before callers are let in. */
-const PREPARATION_MILLISECONDS = 5000
+/** Longest wait for the agent's first complete snapshot before callers are accepted. */
+const FIRST_SNAPSHOT_TIMEOUT_MILLISECONDS = 5000
 
 export class ProxyProcess {
   readonly #settings: ProxySettings
@@ -19,7 +19,7 @@
   readonly #agent: AgentLink
   #server: Server | null = null
   #stopped: Promise<boolean> | null = null
-  #whenPrepared: () => void = () => undefined
+  #onReady: () => void = () => undefined
 
   constructor(settings: ProxySettings) {
     const { entryHost, zone, region, logLevel, agent } = settings
@@ -49,12 +49,12 @@
   }
 
   /**
-   * The port on which callers are served. Callers are let in once the agent has told enough to serve
-   * them: one that came earlier would be refused as if its class or database did not exist. Without
-   * an agent they are let in after a bound all the same, and are told so by name.
+   * Returns the port on which callers are served. Listens once the agent's snapshot is complete enough:
+   * earlier callers would be refused as if their class or database did not exist. Without an agent it
+   * listens after a time-out, and callers get an error that names the missing configuration.
    */
   async start(): Promise<number> {
-    await this.#prepared(PREPARATION_MILLISECONDS)
+    await this.#waitUntilReady(FIRST_SNAPSHOT_TIMEOUT_MILLISECONDS)
     const { address, port } = this.#settings.listen
     const listening = await listen(address, port, socket => {
       this.#shell.accept(socket)
@@ -63,18 +63,18 @@
     return listening.port
   }
 
-  #prepared(patienceMilliseconds: number): Promise<void> {
+  #waitUntilReady(timeoutMilliseconds: number): Promise<void> {
     return new Promise(resolve => {
-      const timer = setTimeout(resolve, patienceMilliseconds)
-      this.#whenPrepared = () => {
+      const timer = setTimeout(resolve, timeoutMilliseconds)
+      this.#onReady = () => {
         clearTimeout(timer)
         resolve()
       }
-      if (this.#shell.isPrepared) this.#whenPrepared()
+      if (this.#shell.isReady) this.#onReady()
     })
   }
 
-  /** True when nothing in flight was cut. A second call waits for the same end. */
+  /** Resolves to true if nothing in flight was cut. Further calls return the same promise. */
   stop(): Promise<boolean> {
     this.#stopped ??= this.#runStop()
     return this.#stopped
@@ -84,7 +84,11 @@
     this.#log.info('stopping')
     this.#server?.close()
     const graceful = await this.#drain()
-    if (!graceful) this.#log.warn('drain timeout passed', this.#shell.cut())
+    if (!graceful)
+      this.#log.warn(
+        'drain timeout expired; closed the remaining callers',
+        this.#shell.destroyCallers(),
+      )
     this.#shell.close()
     this.#agent.close()
     this.#metrics.close()
@@ -109,14 +113,14 @@
     return {
       snapshot: (snapshot, isFirst) => {
         this.#log.debug('snapshot', { sequence: snapshot.sequence })
-        this.#shell.snapshot(snapshot, isFirst)
-        if (this.#shell.isPrepared) this.#whenPrepared()
+        this.#shell.updateSnapshot(snapshot, isFirst)
+        if (this.#shell.isReady) this.#onReady()
       },
       connected: () => {
         this.#log.info('agent connected')
       },
       disconnected: error => {
-        this.#log.warn('agent not connected; the last snapshot stays in force', {
+        this.#log.warn('agent not connected; continuing with the last snapshot', {
           error: error.detail,
         })
       },
--- a/packages/proxy/src/proxyShell.ts
+++ b/packages/proxy/src/proxyShell.ts
@@ -1,6 +1,6 @@
 /**
- * The proxy around its decision core: owns callers, connections and links, hands what happens to the core
- * as messages, and carries out the core's effects.
+ * The I/O layer around the decision core: owns caller and backend connections, reports events to the
+ * core as messages, and executes the core's effects.
  */
 import { randomInt } from 'node:crypto'
 import type { Socket } from 'node:net'
@@ -21,17 +21,16 @@
 import { mergeSnapshot, type ConnectionId, type ProxyEffect } from '@nutmegcourse/state'
 import { BackendConnection, type BackendConnectionEvents } from './backendConnection.js'
 import type { CallerConnection, CallerEvents } from './callerConnection.js'
-import type { CancelKey } from './callerGreeting.js'
+import type { CancelKey } from './callerStartupResponse.js'
 import { CallerRegistry } from './callerRegistry.js'
-import { describeParameters, type CallerIdentity } from './callerStartup.js'
+import { parametersForCaller, type CallerIdentity } from './callerStartup.js'
 import { CoreDriver } from './coreDriver.js'
 import type { DecisionCore } from './decisionCore.js'
 import { EffectCounters } from './effectCounters.js'
-import { PositionQuestions } from './positionQuestions.js'
-import { RequestDesk } from './requestDesk.js'
+import { PositionQueries } from './positionQueries.js'
+import { RequestManager } from './requestManager.js'
 import { Topology } from './topology.js'
 
-/** Where the shell tells what it does. */
 export interface ShellLog {
   readonly traces: boolean
   trace(request: RequestId, step: string, detail: string): void
@@ -39,14 +38,14 @@
   warn(text: string, fields: Readonly<Record<string, unknown>>): void
 }
 
-export interface ShellParts {
+export interface ShellDependencies {
   readonly settings: ProxySettings
   readonly core: DecisionCore
   readonly clock: Clock
   readonly random: RandomSource
   readonly metrics: Metrics
   readonly log: ShellLog
-  /** Tells the agent how this proxy finds a backend server. */
+  /** Reports to the agent the health of a backend server as seen by this proxy. */
   readonly report: (effect: Extract<ProxyEffect, { kind: 'reportHealth' }>) => void
 }
 
@@ -54,12 +53,12 @@
 const KEY_LIMIT = 0x7fff_ffff
 
 export class ProxyShell {
-  readonly #parts: ShellParts
+  readonly #dependencies: ShellDependencies
   readonly #driver: CoreDriver
   readonly #topology = new Topology()
   readonly #counters: EffectCounters
-  readonly #desk: RequestDesk
-  readonly #questions: PositionQuestions
+  readonly #requests: RequestManager
+  readonly #positionQueries: PositionQueries
   readonly #callers: CallerRegistry
   readonly #connections = new Map<ConnectionId, BackendConnection>()
   readonly #serverParameters = new Map<DatabaseId, ReadonlyMap<string, string>>()
@@ -67,11 +66,11 @@
   #lastRequest = 0
   #stopping = false
   #coreStopped = false
-  #finishStop: (() => void) | null = null
+  #resolveStop: (() => void) | null = null
 
-  constructor(parts: ShellParts) {
-    this.#parts = parts
-    const { settings, core, clock, random, metrics, log } = parts
+  constructor(dependencies: ShellDependencies) {
+    this.#dependencies = dependencies
+    const { settings, core, clock, random, metrics, log } = dependencies
     this.#counters = new EffectCounters(metrics)
     this.#callers = new CallerRegistry(
       {
@@ -83,9 +82,9 @@
     )
     this.#requestPrefix = `${settings.entryHost}-${randomInt(KEY_LIMIT).toString(36)}-`
     this.#driver = new CoreDriver(core, clock, effect => {
-      this.#carryOut(effect)
+      this.#execute(effect)
     })
-    this.#desk = new RequestDesk(this.#driver, this.#topology, this.#connections, {
+    this.#requests = new RequestManager(this.#driver, this.#topology, this.#connections, {
       refused: (className, refusal) => {
         metrics.count(refusalCounter(refusal.reason), { class: className ?? '' })
       },
@@ -102,11 +101,11 @@
         if (log.traces) log.trace(request, step, detail)
       },
       closeConnection: connection => {
-        this.#forget(connection)
+        this.#closeConnection(connection)
         this.#driver.send({ kind: 'connectionClosed', connection: connection.id })
       },
     })
-    this.#questions = new PositionQuestions(
+    this.#positionQueries = new PositionQueries(
       {
         user: settings.backendUser,
         connectTimeoutMilliseconds: settings.connectTimeoutMilliseconds,
@@ -117,7 +116,7 @@
           this.#driver.send({ kind: 'positionAnswered', server, report, askedAt })
         },
         failed: (server, askedAt, error) => {
-          log.event('position question failed', { server, error: error.detail })
+          log.event('position query failed', { server, error: error.detail })
           this.#driver.send({ kind: 'positionFailed', server, askedAt })
         },
       },
@@ -126,25 +125,25 @@
     )
   }
 
-  /** Takes the agent's word. The core ignores one that is older than its last. */
-  snapshot(news: RoutingSnapshot, firstOfConnection = false): void {
-    const snapshot = mergeSnapshot(this.#topology.snapshot, news)
+  /** Applies a snapshot from the agent. The core ignores one that is older than its current one. */
+  updateSnapshot(update: RoutingSnapshot, firstOfConnection = false): void {
+    const snapshot = mergeSnapshot(this.#topology.snapshot, update)
     this.#topology.update(snapshot)
-    this.#questions.keepOnly(server => this.#topology.findServer(server) !== null)
+    this.#positionQueries.closeUnlisted(server => this.#topology.findServer(server) !== null)
     this.#driver.send({ kind: 'snapshot', snapshot, firstOfConnection })
   }
 
-  /** Whether targets and a database with its backend servers are known. */
-  get isPrepared(): boolean {
+  /** Whether the targets and the backend servers of every database are known. */
+  get isReady(): boolean {
     return this.#topology.isComplete
   }
 
-  /** Lets the core look at the time now. */
-  wake(): void {
+  /** Makes the core process whatever is due now. */
+  tick(): void {
     this.#driver.send({ kind: 'tick' })
   }
 
-  /** Bytes that callers have not taken yet. */
+  /** Bytes written to callers that are not sent yet. */
   get bufferedBytes(): number {
     return this.#callers.unsentBytes
   }
@@ -155,11 +154,11 @@
     else if (this.#stopping) caller.drain()
   }
 
-  /** Graceful shutdown: resolves once nothing is in flight and every caller is gone. */
+  /** Graceful shutdown: resolves once nothing is in flight and every caller has disconnected. */
   async stop(): Promise<void> {
     this.#stopping = true
     const stopped = new Promise<void>(resolve => {
-      this.#finishStop = resolve
+      this.#resolveStop = resolve
     })
     this.#callers.drain()
     this.#driver.send({ kind: 'stop' })
@@ -167,24 +166,24 @@
     await stopped
   }
 
-  /** Cuts what still runs; tells how much that is. */
-  cut(): { readonly callers: number; readonly requests: number } {
-    const remains = { callers: this.#callers.size, requests: this.#desk.inFlight }
-    this.#callers.cut()
-    return remains
+  /** Closes all callers' connections at once; returns how many callers and requests were cut. */
+  destroyCallers(): { readonly callers: number; readonly requests: number } {
+    const remaining = { callers: this.#callers.size, requests: this.#requests.inFlight }
+    this.#callers.destroyAll()
+    return remaining
   }
 
   close(): void {
-    this.#questions.close()
+    this.#positionQueries.close()
     for (const connection of this.#connections.values()) connection.close()
     this.#connections.clear()
     this.#driver.stop()
     this.#counters.close()
   }
 
-  /** For operators, as plain JSON. */
+  /** Status for operators, as plain JSON. */
   status(): Readonly<Record<string, unknown>> {
-    const { settings, metrics } = this.#parts
+    const { settings, metrics } = this.#dependencies
     this.#counters.flush()
     const servers: Record<string, Record<string, number>> = {}
     for (const connection of this.#connections.values()) {
@@ -196,8 +195,8 @@
       entryHost: settings.entryHost,
       snapshotSequence: this.#topology.snapshot?.sequence ?? null,
       callers: this.#callers.size,
-      requestsInFlight: this.#desk.inFlight,
-      openTransactions: this.#desk.openTransactions,
+      requestsInFlight: this.#requests.inFlight,
+      openTransactions: this.#requests.openTransactions,
       preparedStatements: this.#callers.preparedStatements,
       connections: servers,
       residentBytes: process.memoryUsage.rss(),
@@ -209,26 +208,26 @@
   readonly #callerEvents: CallerEvents = {
     admit: (_caller, identity) => this.#admit(identity),
     parametersOf: identity =>
-      describeParameters(identity, this.#serverParameters.get(identity.database) ?? new Map()),
+      parametersForCaller(identity, this.#serverParameters.get(identity.database) ?? new Map()),
     nextRequestId: () => this.#nextRequestId(),
     cancel: key => {
       this.cancel(key)
     },
     start: (caller, request) => {
-      this.#desk.start(caller, request)
+      this.#requests.start(caller, request)
     },
-    more: (caller, request) => {
-      this.#desk.more(caller, request)
+    moreAvailable: (caller, request) => {
+      this.#requests.sendMore(caller, request)
     },
-    congested: caller => {
-      this.#desk.congested(caller)
+    congestionStarted: caller => {
+      this.#requests.pauseAnswer(caller)
     },
-    relieved: caller => {
-      this.#desk.relieved(caller)
+    congestionEnded: caller => {
+      this.#requests.resumeAnswer(caller)
     },
     closed: (caller, unfinished) => {
       this.#callers.remove(caller)
-      this.#desk.leave(caller, unfinished)
+      this.#requests.handleCallerClosed(caller, unfinished)
       this.#endSession(caller)
       this.#checkStopped()
     },
@@ -241,32 +240,39 @@
     },
     openFailed: (connection, failure, detail) => {
       this.#connections.delete(connection.id)
-      this.#parts.log.event('no connection', { server: connection.server.id, failure, detail })
+      this.#dependencies.log.event('backend connection failed', {
+        server: connection.server.id,
+        failure,
+        detail,
+      })
       this.#driver.send({ kind: 'connectionFailed', connection: connection.id, failure })
     },
     closed: (connection, run, detail) => {
       this.#connections.delete(connection.id)
-      this.#parts.log.event('connection closed', { server: connection.server.id, detail })
-      this.#desk.closed(connection, run, detail)
+      this.#dependencies.log.event('backend connection closed', {
+        server: connection.server.id,
+        detail,
+      })
+      this.#requests.handleConnectionLost(connection, run, detail)
     },
     answered: (_connection, run) => {
-      this.#desk.answered(run)
+      this.#requests.answered(run)
     },
     ended: (connection, run, outcome) => {
-      this.#desk.ended(connection, run, outcome)
+      this.#requests.ended(connection, run, outcome)
     },
   }
 
-  #carryOut(effect: ProxyEffect): void {
+  #execute(effect: ProxyEffect): void {
     switch (effect.kind) {
       case 'run':
-        this.#desk.run(effect)
+        this.#requests.run(effect)
         return
       case 'acknowledge':
-        this.#desk.acknowledge(effect.request)
+        this.#requests.acknowledge(effect.request)
         return
       case 'refuse':
-        this.#desk.refuse(effect.request, effect.refusal)
+        this.#requests.refuse(effect.request, effect.refusal)
         return
       case 'open':
         this.#openConnection(effect)
@@ -275,16 +281,16 @@
         const connection = this.#connections.get(effect.connection)
         if (connection === undefined) return
         const { run } = connection
-        this.#forget(connection)
-        if (run !== null) this.#desk.closedUnder(run)
+        this.#closeConnection(connection)
+        if (run !== null) this.#requests.handleConnectionClosedByCore(run)
         return
       }
       case 'askPosition': {
-        this.#askPosition(effect.server)
+        this.#queryPosition(effect.server)
         return
       }
       case 'reportHealth':
-        this.#parts.report(effect)
+        this.#dependencies.report(effect)
         return
       case 'count':
         this.#counters.count(effect.counter, effect.tags)
@@ -298,10 +304,10 @@
     }
   }
 
-  /** Every question gets its answer, also one about a server that is no longer listed. */
-  #askPosition(id: BackendServerId): void {
+  /** The core gets an answer to every query, also for a server that is no longer listed. */
+  #queryPosition(id: BackendServerId): void {
     const server = this.#topology.findServer(id)
-    if (server !== null) this.#questions.ask(server)
+    if (server !== null) this.#positionQueries.query(server)
     else this.#driver.send({ kind: 'positionFailed', server: id, askedAt: this.#driver.now })
   }
 
@@ -312,7 +318,7 @@
       this.#driver.send({ kind: 'connectionFailed', connection, failure: 'lost' })
       return
     }
-    const { backendUser, connectTimeoutMilliseconds } = this.#parts.settings
+    const { backendUser, connectTimeoutMilliseconds } = this.#dependencies.settings
     const options = { user: backendUser, connectTimeoutMilliseconds }
     const connection = new BackendConnection(
       effect.connection,
@@ -323,21 +329,21 @@
     this.#connections.set(connection.id, connection)
   }
 
-  #forget(connection: BackendConnection): void {
+  #closeConnection(connection: BackendConnection): void {
     this.#connections.delete(connection.id)
     connection.close()
-    this.#desk.forget(connection)
+    this.#requests.handleConnectionClosed(connection)
   }
 
   #admit(identity: CallerIdentity): Refusal | null {
-    const known = this.#topology.snapshot !== null
-    if (!known || this.#topology.hasDatabase(identity.database)) return null
+    const hasSnapshot = this.#topology.snapshot !== null
+    if (!hasSnapshot || this.#topology.hasDatabase(identity.database)) return null
     const refusal: Refusal = { reason: 'unknown_database', detail: identity.database }
     this.#countRefusal(refusal)
     return refusal
   }
 
-  /** A session without a name of its own ends with its connection. */
+  /** Ends the session with the connection, unless the caller named the session. */
   #endSession(caller: CallerConnection): void {
     const { identity } = caller
     if (identity?.session !== null) return
@@ -346,13 +352,13 @@
   }
 
   #countRefusal(refusal: Refusal): void {
-    this.#parts.metrics.count(refusalCounter(refusal.reason), { class: '' })
+    this.#dependencies.metrics.count(refusalCounter(refusal.reason), { class: '' })
   }
 
-  /** Does what a CancelRequest asks for, if its key is right. */
+  /** Cancels the request of the caller that the key identifies; an unknown key is ignored. */
   cancel(key: CancelKey): void {
     const caller = this.#callers.find(key)
-    if (caller !== null) this.#desk.cancel(caller)
+    if (caller !== null) this.#requests.cancel(caller)
   }
 
   #nextRequestId(): RequestId {
@@ -361,6 +367,6 @@
   }
 
   #checkStopped(): void {
-    if (this.#stopping && this.#coreStopped && this.#callers.size === 0) this.#finishStop?.()
+    if (this.#stopping && this.#coreStopped && this.#callers.size === 0) this.#resolveStop?.()
   }
 }
--- a/packages/proxy/src/requestDesk.ts
+++ b/packages/proxy/src/requestManager.ts
@@ -1,6 +1,6 @@
 /**
- * Follows each request from its caller to its one final answer: tells the core of it, runs it where the
- * core says, and gives the caller the answer, held or streamed, or the refusal.
+ * Tracks each request until its single final answer: reports it to the core, runs it on the connection
+ * that the core chooses, and sends the caller the held or streamed answer, or a refusal.
  */
 import {
   TransactionStatus,
@@ -13,41 +13,41 @@
 import { isTransactionOpen, type BackendConnection } from './backendConnection.js'
 import {
   READ_ONLY_VIOLATION,
-  forgetUnprepared,
-  isRefusedUnrun,
+  forgetFailedPrepares,
+  isRefusedBeforeRunning,
   newActiveRequest,
   statusAfterRefusal,
-  targetOf,
+  answerTargetOf,
   type ActiveRequest,
 } from './activeRequest.js'
 import type { BackendRun, RunOutcome } from './backendRun.js'
 import type { CallerConnection } from './callerConnection.js'
 import type { CallerRequest } from './callerRequest.js'
-import { CallerTransactions, type PinnedTransaction, type RunManner } from './callerTransactions.js'
+import { CallerTransactions, type PinnedTransaction, type RunMode } from './callerTransactions.js'
 import { chooseClass } from './classChoice.js'
 import type { CoreDriver } from './coreDriver.js'
-import { HeldAnswer } from './heldAnswer.js'
+import { AnswerBuffer } from './answerBuffer.js'
 import { replyInLostTransaction } from './lostTransaction.js'
-import { noteSessionState, noteStartupSettings } from './sessionState.js'
+import { recordSessionChanges, recordStartupSettings } from './sessionState.js'
 import type { Topology } from './topology.js'
 
 type RunEffect = Extract<ProxyEffect, { kind: 'run' }>
 
-export interface RequestDeskEvents {
-  /** Refused by the shell itself; the core counts its own refusals. */
+export interface RequestManagerEvents {
+  /** A request was refused without the core, which counts only its own refusals. */
   refused(className: ClassName | null, refusal: Refusal): void
-  /** A caller is told that its request may or may not have run. */
+  /** A caller gets an error because it is unknown whether its request ran. */
   outcomeUnknown(active: ActiveRequest, refusal: Refusal): void
   trace(request: RequestId, step: string, detail: string): void
-  /** Closes a connection that the core has not closed itself, and tells the core. */
+  /** Closes a connection that the core has not closed, and notifies the core. */
   closeConnection(connection: BackendConnection): void
 }
 
-export class RequestDesk {
+export class RequestManager {
   readonly #driver: CoreDriver
   readonly #topology: Topology
   readonly #connections: ReadonlyMap<ConnectionId, BackendConnection>
-  readonly #events: RequestDeskEvents
+  readonly #events: RequestManagerEvents
   readonly #active = new Map<RequestId, ActiveRequest>()
   readonly #transactions = new CallerTransactions()
 
@@ -55,7 +55,7 @@
     driver: CoreDriver,
     topology: Topology,
     connections: ReadonlyMap<ConnectionId, BackendConnection>,
-    events: RequestDeskEvents,
+    events: RequestManagerEvents,
   ) {
     this.#driver = driver
     this.#topology = topology
@@ -71,9 +71,9 @@
     return this.#transactions.openCount
   }
 
-  /** A request has come to the head of its caller's queue. */
+  /** Starts a request that has reached the head of its caller's queue. */
   start(caller: CallerConnection, request: CallerRequest): void {
-    const transaction = this.#transactions.of(caller)
+    const transaction = this.#transactions.get(caller)
     if (request.complete && request.shape.kind === 'extended' && request.steps.length === 1) {
       caller.finish(request, caller.status, 'sendReady')
       return
@@ -81,41 +81,41 @@
     const active = newActiveRequest(caller, request, transaction.kind === 'pinned')
     switch (transaction.kind) {
       case 'none':
-        this.#announce(active)
+        this.#submit(active)
         return
       case 'pinned':
         this.#continueTransaction(active, transaction)
         return
       case 'lost':
-        this.#answerLost(active, transaction.told)
+        this.#answerInLostTransaction(active, transaction.isReported)
     }
   }
 
-  /** More messages of a request that has started already. */
-  more(caller: CallerConnection, request: CallerRequest): void {
+  /** Sends further messages of a request that has already started. */
+  sendMore(caller: CallerConnection, request: CallerRequest): void {
     const active = this.#active.get(request.id)
     if (active === undefined) return
-    if (active.owedStatus !== null) {
+    if (active.pendingReadyStatus !== null) {
       if (!request.complete) return
       this.#active.delete(request.id)
-      caller.finish(request, active.owedStatus, 'sendReady')
+      caller.finish(request, active.pendingReadyStatus, 'sendReady')
       return
     }
     if (active.connection?.run?.request !== request) return
-    if (request.complete && active.manner?.holdAnswer === true) active.answer?.hold()
+    if (request.complete && active.mode?.holdAnswer === true) active.answer?.hold()
     active.connection.sendMore()
   }
 
-  /** The caller is gone. Nothing of what it had under way is ever reused. */
-  leave(caller: CallerConnection, unfinished: readonly CallerRequest[]): void {
-    const transaction = this.#transactions.of(caller)
+  /** Abandons a disconnected caller's requests. Connections that they ran on are closed, not reused. */
+  handleCallerClosed(caller: CallerConnection, unfinished: readonly CallerRequest[]): void {
+    const transaction = this.#transactions.get(caller)
     this.#transactions.end(caller)
     for (const request of unfinished) {
       const active = this.#active.get(request.id)
       if (active === undefined) continue
       this.#active.delete(request.id)
       const { connection } = active
-      if (active.owedStatus === null) {
+      if (active.pendingReadyStatus === null) {
         this.#driver.send({ kind: 'requestAbandoned', request: request.id })
       }
       if (connection?.run?.request === request) this.#closeAfterEffects(connection)
@@ -123,11 +123,11 @@
     if (transaction.kind === 'pinned') this.#closeAfterEffects(transaction.connection)
   }
 
-  /** A CancelRequest for whatever the caller has under way. */
+  /** Cancels the caller's current request, as asked by a CancelRequest. */
   cancel(caller: CallerConnection): void {
     const { head } = caller
     const active = head === null ? undefined : this.#active.get(head.id)
-    if (head === null || active?.owedStatus !== null) return
+    if (head === null || active?.pendingReadyStatus !== null) return
     if (active.connection?.run?.isAnswered === false) {
       active.connection.cancel()
       return
@@ -135,14 +135,14 @@
     if (active.connection !== null) return
     this.#driver.send({ kind: 'requestAbandoned', request: head.id })
     this.#events.trace(head.id, 'canceled', 'while it waited')
-    this.#conclude(active, CANCELED, TransactionStatus.idle)
+    this.#finishWithError(active, CANCELED, TransactionStatus.idle)
   }
 
-  congested(caller: CallerConnection): void {
+  pauseAnswer(caller: CallerConnection): void {
     this.#runningConnection(caller)?.pause()
   }
 
-  relieved(caller: CallerConnection): void {
+  resumeAnswer(caller: CallerConnection): void {
     this.#runningConnection(caller)?.resume()
   }
 
@@ -154,7 +154,7 @@
       return
     }
     if (active === undefined) {
-      // Its caller has left since; a connection that the core counts as busy must not stay so.
+      // The caller has disconnected; closing the connection stops the core from counting it as busy.
       this.#closeAfterEffects(connection)
       return
     }
@@ -171,8 +171,8 @@
 
   refuse(id: RequestId, refusal: Refusal): void {
     const active = this.#active.get(id)
-    if (active?.owedStatus !== null) return
-    const final = active.request.replacement ?? refusal
+    if (active?.pendingReadyStatus !== null) return
+    const final = active.request.replacementRefusal ?? refusal
     this.#events.trace(id, 'refused', final.reason)
     if (REASONS[final.reason].kind === 'outcomeUnknown') this.#events.outcomeUnknown(active, final)
     if (active.request.purpose === 'startupSettings') {
@@ -180,12 +180,12 @@
       active.caller.fail(final)
       return
     }
-    this.#conclude(active, refusalResponse(final), statusAfterRefusal(active))
+    this.#finishWithError(active, refusalResponse(final), statusAfterRefusal(active))
   }
 
-  /** The caller's part of an answer is whole. */
+  /** Handles the end of the answer to the caller's own messages. */
   answered(run: BackendRun): void {
-    // Inside a transaction nothing lasts yet, so that its answer says nothing that needs confirming.
+    // Nothing is committed inside a transaction yet, so the answer needs no confirmation.
     const active = this.#active.get(run.request.id)
     if (active !== undefined && run.status !== TransactionStatus.idle) run.answer.release()
   }
@@ -196,14 +196,14 @@
     if (active === undefined) return
     const { caller } = active
     const transactionOpen = isTransactionOpen(outcome)
-    this.#noteTransaction(active, connection, transactionOpen)
-    const complaint = this.#noteSession(active, connection, outcome)
-    forgetUnprepared(caller, outcome)
-    if (active.manner?.readOnly === true && outcome.sqlState === READ_ONLY_VIOLATION) {
+    this.#recordTransaction(active, connection, transactionOpen)
+    const refusal = this.#recordSession(active, connection, outcome)
+    forgetFailedPrepares(caller, outcome)
+    if (active.mode?.readOnly === true && outcome.sqlState === READ_ONLY_VIOLATION) {
       this.#events.refused(request.class, { reason: 'write_in_read_class' })
     }
-    const waits = run.answer.holding
-    if (waits) active.outcome = outcome
+    const isHeld = run.answer.holding
+    if (isHeld) active.outcome = outcome
     else this.#active.delete(request.id)
     this.#driver.send({
       kind: 'requestRan',
@@ -211,38 +211,45 @@
       position: outcome.position,
       transactionOpen,
       failed: outcome.failed,
-      refusedUnrun: isRefusedUnrun(active, run, outcome),
+      refusedUnrun: isRefusedBeforeRunning(active, run, outcome),
     })
-    if (waits) {
-      if (complaint !== null) caller.fail(complaint)
+    if (isHeld) {
+      if (refusal !== null) caller.fail(refusal)
       return
     }
     caller.finish(request, outcome.status, 'readySent')
-    if (complaint !== null) caller.fail(complaint)
+    if (refusal !== null) caller.fail(refusal)
   }
 
-  /** The core closed a connection. Unless it refuses the request on it as well, that is broken. */
-  closedUnder(run: BackendRun): void {
+  /**
+   * Handles a connection that the core closed. The request running on it is reported as broken unless
+   * the core refuses it as well.
+   */
+  handleConnectionClosedByCore(run: BackendRun): void {
     this.#driver.afterEffects(() => {
       const active = this.#active.get(run.request.id)
-      if (active?.answer !== run.answer || active.owedStatus !== null) return
+      if (active?.answer !== run.answer || active.pendingReadyStatus !== null) return
       const partlyAnswered = run.answer.partlySent
       this.#driver.send({ kind: 'requestBroken', request: run.request.id, partlyAnswered })
     })
   }
 
-  /** A connection broke. Told to the core here, in the order that it needs. */
-  closed(connection: BackendConnection, run: BackendRun | null, detail: string): void {
-    this.#transactions.connectionGone(connection)
+  /** Handles a broken connection: the core must receive `connectionClosed` before `requestBroken`. */
+  handleConnectionLost(
+    connection: BackendConnection,
+    run: BackendRun | null,
+    detail: string,
+  ): void {
+    this.#transactions.handleConnectionClosed(connection)
     this.#driver.send({ kind: 'connectionClosed', connection: connection.id })
     if (run === null) return
     const active = this.#active.get(run.request.id)
     if (active === undefined) return
     this.#events.trace(run.request.id, 'broken', detail)
     if (run.isAnswered && !run.answer.holding) {
-      // The caller has its whole answer; only the question behind it is lost, with the transaction.
+      // The caller has its whole answer; only the position query after it and the transaction are lost.
       this.#active.delete(run.request.id)
-      this.#transactions.lose(active.caller, false)
+      this.#transactions.markLost(active.caller, false)
       this.#driver.send({ kind: 'requestAbandoned', request: run.request.id })
       active.caller.finish(run.request, run.status, 'readySent')
       return
@@ -251,19 +258,19 @@
     this.#driver.send({ kind: 'requestBroken', request: run.request.id, partlyAnswered })
   }
 
-  /** A connection was closed by this side. A transaction that it served is lost. */
-  forget(connection: BackendConnection): void {
-    this.#transactions.connectionGone(connection)
+  /** Handles a connection that the proxy closed. A transaction open on it is lost. */
+  handleConnectionClosed(connection: BackendConnection): void {
+    this.#transactions.handleConnectionClosed(connection)
   }
 
-  #announce(active: ActiveRequest): void {
+  #submit(active: ActiveRequest): void {
     const { request, caller } = active
     const { identity } = caller
     if (identity === null) return
     this.#active.set(request.id, active)
     const choice = chooseClass(request, identity, this.#topology)
     if (choice.kind === 'refusal') {
-      this.#refuseHere(active, choice.refusal)
+      this.#refuseLocally(active, choice.refusal)
       return
     }
     request.class = choice.name
@@ -289,92 +296,100 @@
       request: request.id,
       connection: connection.id,
     })
-    const refused = this.#active.get(request.id) !== active || active.owedStatus !== null
+    const refused = this.#active.get(request.id) !== active || active.pendingReadyStatus !== null
     if (refused || active.connection !== null) return
-    this.#startRun(active, connection, transaction.manner)
+    this.#startRun(active, connection, transaction.mode)
   }
 
-  #answerLost(active: ActiveRequest, told: boolean): void {
+  #answerInLostTransaction(active: ActiveRequest, isReported: boolean): void {
     const { request, caller } = active
     if (!request.complete) {
       this.#active.set(request.id, active)
-      this.#transactions.lose(caller, true)
+      this.#transactions.markLost(caller, true)
       caller.write(refusalResponse({ reason: 'transaction_lost' }))
-      active.owedStatus = TransactionStatus.failed
+      active.pendingReadyStatus = TransactionStatus.failed
       return
     }
-    const reply = replyInLostTransaction(request, told)
+    const reply = replyInLostTransaction(request, isReported)
     if (reply.status === TransactionStatus.idle) this.#transactions.end(caller)
-    else this.#transactions.lose(caller, true)
+    else this.#transactions.markLost(caller, true)
     caller.write(reply.bytes)
     caller.finish(request, reply.status, 'readySent')
   }
 
-  #startRun(active: ActiveRequest, connection: BackendConnection, manner: RunManner): void {
+  #startRun(active: ActiveRequest, connection: BackendConnection, mode: RunMode): void {
     const { request, caller } = active
-    const { readOnly, holdAnswer } = manner
-    active.manner = { readOnly, holdAnswer }
+    const { readOnly, holdAnswer } = mode
+    active.mode = { readOnly, holdAnswer }
     active.connection = connection
     active.outcome = null
-    // What the caller waits for before its Sync says nothing of a commit, so it is not held.
-    active.answer = new HeldAnswer(targetOf(active), holdAnswer && request.complete)
+    // Answers that the caller awaits before its Sync do not confirm a commit, so they are not held.
+    active.answer = new AnswerBuffer(answerTargetOf(active), holdAnswer && request.complete)
     connection.start({
       request,
       answer: active.answer,
       settings: caller.settings,
       readOnly,
-      asksPosition: holdAnswer || !readOnly,
+      queriesPosition: holdAnswer || !readOnly,
       insideTransaction: active.insideTransaction,
     })
-    if (caller.congested) connection.pause()
+    if (caller.isCongested) connection.pause()
   }
 
-  #noteTransaction(
+  #recordTransaction(
     active: ActiveRequest,
     connection: BackendConnection,
     transactionOpen: boolean,
   ): void {
-    const { caller, manner, request } = active
-    if (transactionOpen && manner !== null) {
-      this.#transactions.pin(caller, { connection, manner, class: request.class })
+    const { caller, mode, request } = active
+    if (transactionOpen && mode !== null) {
+      this.#transactions.pin(caller, { connection, mode, class: request.class })
     } else if (active.insideTransaction) this.#transactions.end(caller)
   }
 
-  /** What the request did to its session; a refusal when the caller can not go on. */
-  #noteSession(
+  /** Records the session state that the request changed; returns a refusal if the caller can not go on. */
+  #recordSession(
     active: ActiveRequest,
     connection: BackendConnection,
     outcome: RunOutcome,
   ): Refusal | null {
     const { caller, request } = active
     if (request.purpose === 'startupSettings') {
-      return noteStartupSettings(caller, connection, outcome)
+      return recordStartupSettings(caller, connection, outcome)
     }
-    const kept = noteSessionState(caller, connection, request, outcome, active.insideTransaction)
-    return kept ? null : { reason: 'unsupported', detail: 'more SET statements than are kept' }
+    const isRecorded = recordSessionChanges(
+      caller,
+      connection,
+      request,
+      outcome,
+      active.insideTransaction,
+    )
+    return isRecorded
+      ? null
+      : { reason: 'unsupported', detail: 'more SET statements than are kept' }
   }
 
-  #refuseHere(active: ActiveRequest, refusal: Refusal): void {
+  #refuseLocally(active: ActiveRequest, refusal: Refusal): void {
     this.#events.refused(active.request.class, refusal)
     this.refuse(active.request.id, refusal)
   }
 
-  /** The final answer of a request that gets no ordinary one. */
-  #conclude(active: ActiveRequest, error: Buffer, status: TransactionStatusByte): void {
+  /** Ends a request with an error in place of a backend server's answer. */
+  #finishWithError(active: ActiveRequest, error: Buffer, status: TransactionStatusByte): void {
     const { request, caller, connection, answer } = active
     answer?.drop()
     if (active.insideTransaction && active.outcome === null) this.#loseTransaction(active, status)
-    const runs = connection?.run?.request === request
-    if (connection !== null && runs) this.#closeAfterEffects(connection)
+    const isRunning = connection?.run?.request === request
+    if (connection !== null && isRunning) this.#closeAfterEffects(connection)
     if (answer?.partlySent === true && connection?.insideFrame === true) {
-      // Part of a row is with the caller: whatever came next would be read as the rest of it.
+      // The caller has received part of a row and would read any further bytes as the rest of it.
       this.#active.delete(request.id)
       caller.destroy()
       return
     }
     caller.write(error)
     if (!request.complete) {
-      active.owedStatus = status
+      active.pendingReadyStatus = status
       return
     }
     this.#active.delete(request.id)
@@ -383,13 +398,13 @@
 
   #loseTransaction(active: ActiveRequest, status: TransactionStatusByte): void {
     const { caller } = active
-    const transaction = this.#transactions.of(caller)
+    const transaction = this.#transactions.get(caller)
     if (transaction.kind === 'pinned') this.#closeAfterEffects(transaction.connection)
     if (status === TransactionStatus.idle) this.#transactions.end(caller)
-    else this.#transactions.lose(caller, true)
+    else this.#transactions.markLost(caller, true)
   }
 
-  /** The core closes what it refuses or abandons by itself; whatever it left open is closed here. */
+  /** Closes a connection after the core's effects, unless the core has closed it by then. */
   #closeAfterEffects(connection: BackendConnection): void {
     this.#driver.afterEffects(() => {
       if (connection.state === 'open') this.#events.closeConnection(connection)
--- a/packages/proxy/src/requestIntake.ts
+++ b/packages/proxy/src/requestQueue.ts
@@ -1,32 +1,32 @@
-/** Makes requests out of one caller's messages and keeps them in order until they are finished. */
+/** Assembles one caller's messages into requests and queues them in order until they are finished. */
 import { CallerMessage } from '@nutmegcourse/protocol'
 import type { Refusal, RequestId } from '@nutmegcourse/shared'
 import { CallerRequest } from './callerRequest.js'
 import { readStep } from './requestSteps.js'
 import type { CallerStatements } from './statementCatalog.js'
 
-/** A caller that pipelines is read this far ahead. */
+/** Limits on how far a pipelining caller is read ahead. */
 const QUEUED_BYTES_LIMIT = 256 * 1024
 const QUEUED_REQUESTS_LIMIT = 256
 const TEXT_START = 5
 
-export interface IntakeOptions {
+export interface RequestQueueOptions {
   readonly messageLimitBytes: number
   readonly nextRequestId: () => RequestId
-  /** More messages of a request that has started. */
-  readonly more: (request: CallerRequest) => void
+  /** Called with further messages of a request that has started. */
+  readonly moreAvailable: (request: CallerRequest) => void
 }
 
-export class RequestIntake {
+export class RequestQueue {
   readonly #statements: CallerStatements
-  readonly #options: IntakeOptions
-  /** In the order in which they came; the first is the one under way. */
+  readonly #options: RequestQueueOptions
+  /** In order of arrival; the first is the one being processed. */
   #requests: CallerRequest[] = []
-  /** Extended messages whose Sync has not come. */
-  #open: CallerRequest | null = null
+  /** Extended-protocol messages whose Sync has not arrived. */
+  #incomplete: CallerRequest | null = null
   #queuedBytes = 0
 
-  constructor(statements: CallerStatements, options: IntakeOptions) {
+  constructor(statements: CallerStatements, options: RequestQueueOptions) {
     this.#statements = statements
     this.#options = options
   }
@@ -35,12 +35,12 @@
     return this.#requests[0] ?? null
   }
 
-  /** Whether the caller has sent nothing that is not finished. */
+  /** Whether everything that the caller has sent is finished. */
   get isEmpty(): boolean {
-    return this.#requests.length === 0 && this.#open === null
+    return this.#requests.length === 0 && this.#incomplete === null
   }
 
-  /** Whether no more is to be read for now. */
+  /** Whether reading from the caller should pause. */
   isFull(): boolean {
     if (this.#requests.length >= QUEUED_REQUESTS_LIMIT) return true
     return this.#queuedBytes > QUEUED_BYTES_LIMIT && this.#requests.length > 1
@@ -51,7 +51,7 @@
     this.#requests.push(request)
   }
 
-  /** The head has its final answer. */
+  /** Removes the head, which has its final answer. */
   finishHead(): void {
     const request = this.#requests.shift()
     if (request === undefined) return
@@ -59,17 +59,17 @@
     this.#queuedBytes -= request.bufferedBytes
   }
 
-  /** Empties the queue; tells what was in it. */
-  takeAll(): readonly CallerRequest[] {
+  /** Empties the queue and returns its requests. */
+  clear(): readonly CallerRequest[] {
     const unfinished = this.#requests
     this.#requests = []
-    this.#open = null
+    this.#incomplete = null
     return unfinished
   }
 
   readQuery(frame: Buffer): Refusal | null {
-    if (this.#open !== null) return malformed('a Query inside extended messages without Sync')
-    // The text itself is not decoded: only a comment at its ends is ever read.
+    if (this.#incomplete !== null) return malformed('a Query inside extended messages without Sync')
+    // The text is not decoded, since only a leading or trailing comment is ever read.
     if (frame.indexOf(0, TEXT_START) !== frame.length - 1) {
       return malformed('a Query without an end')
     }
@@ -80,41 +80,41 @@
   readExtended(frame: Buffer): Refusal | null {
     const step = readStep(frame, this.#statements)
     if (step === null) return malformed(`a message of type ${frame[0] ?? 0} without an end`)
-    this.#open ??= CallerRequest.extended(this.#options.nextRequestId())
-    this.#open.add(step, frame.length)
+    this.#incomplete ??= CallerRequest.extended(this.#options.nextRequestId())
+    this.#incomplete.add(step, frame.length)
     this.#queuedBytes += frame.length
-    if (this.#open.bufferedBytes <= this.#options.messageLimitBytes) return null
+    if (this.#incomplete.bufferedBytes <= this.#options.messageLimitBytes) return null
     return { reason: 'too_large', detail: 'messages without Sync' }
   }
 
   readFlush(frame: Buffer): void {
-    const request = this.#open
+    const request = this.#incomplete
     if (request === null) return
     request.add({ kind: 'asIs', frame }, 0)
     request.flush()
-    this.#offer(request)
+    this.#enqueue(request)
   }
 
   readSync(frame: Buffer): void {
-    const request = this.#open ?? CallerRequest.extended(this.#options.nextRequestId())
-    this.#open = null
+    const request = this.#incomplete ?? CallerRequest.extended(this.#options.nextRequestId())
+    this.#incomplete = null
     request.completeWith({ kind: 'asIs', frame })
-    this.#offer(request)
+    this.#enqueue(request)
   }
 
-  /** Queues a request at its first Flush or Sync; a started one is sent on. */
-  #offer(request: CallerRequest): void {
+  /** Queues a request at its first Flush or Sync; reports further messages if it has started. */
+  #enqueue(request: CallerRequest): void {
     if (!this.#requests.includes(request)) this.#requests.push(request)
-    else if (request.started) this.#options.more(request)
+    else if (request.started) this.#options.moreAvailable(request)
   }
 }
 
 const malformed = (detail: string): Refusal => ({ reason: 'malformed', detail })
 
-/** Whether a message belongs to the extended protocol and waits for its Sync. */
-export const isExtended = (type: number): boolean => EXTENDED.has(type)
+/** Whether a message belongs to the extended protocol and is answered up to a Sync. */
+export const isExtended = (type: number): boolean => EXTENDED_MESSAGES.has(type)
 
-const EXTENDED: ReadonlySet<number> = new Set([
+const EXTENDED_MESSAGES: ReadonlySet<number> = new Set([
   CallerMessage.parse,
   CallerMessage.bind,
   CallerMessage.describe,
--- a/packages/proxy/src/requestSteps.ts
+++ b/packages/proxy/src/requestSteps.ts
@@ -31,14 +31,14 @@
 
 /** What a ParseComplete of the server is to the caller. */
 export interface ParseSlot {
-  readonly swallowed: boolean
+  readonly hidden: boolean
   readonly statement: PreparedStatement
   /** The caller's name when the caller asked for it; null when the proxy did. */
   readonly callerName: string | null
 }
 
 /** What a CloseComplete of the server is to the caller. */
-export type CloseSlot = 'pass' | 'swallow' | 'asParseComplete'
+export type CloseSlot = 'forward' | 'discard' | 'asParseComplete'
 
 /** Answers that are still to come on one connection, in the server's order. */
 export interface AnswerSlots {
@@ -68,9 +68,9 @@
   }
 }
 
-const LETTER_STATEMENT = 0x53
+const STATEMENT_KIND = 0x53
 
-const targetsStatement = (frame: Buffer): boolean => frame[FRAME_HEADER_BYTES] === LETTER_STATEMENT
+const targetsStatement = (frame: Buffer): boolean => frame[FRAME_HEADER_BYTES] === STATEMENT_KIND
 
 function asIsWithText(frame: Buffer, start: number): RequestStep | null {
   return readText(frame, start) === null ? null : { kind: 'asIs', frame }
@@ -103,26 +103,26 @@
 }
 
 /** A portal that never exists: closing it always succeeds and changes nothing. */
-const CLOSE_NOTHING = closeMessage('portal', 'nutmegcourse_nothing')
+const CLOSE_MISSING_PORTAL = closeMessage('portal', 'nutmegcourse_nothing')
 /** No statement of the proxy has such a name, so the server answers 26000 as the caller expects. */
 const UNKNOWN_STATEMENT = Buffer.from('unknown statement\0', 'latin1')
 
 /** Rewrites the steps of one request for one connection. Lives as long as the request runs on it. */
 export class StepEncoder {
-  readonly #held: ConnectionStatements
+  readonly #statements: ConnectionStatements
   readonly #slots: AnswerSlots
   /** The unnamed statement that the connection has by now, as far as this request knows. */
   #unnamed: PreparedStatement | null = null
 
-  constructor(held: ConnectionStatements, slots: AnswerSlots) {
-    this.#held = held
+  constructor(statements: ConnectionStatements, slots: AnswerSlots) {
+    this.#statements = statements
     this.#slots = slots
   }
 
   encode(step: RequestStep, output: Buffer[]): void {
     switch (step.kind) {
       case 'asIs':
-        this.#noteClose(step.frame)
+        this.#expectClose(step.frame)
         output.push(step.frame)
         return
       case 'parse':
@@ -133,31 +133,31 @@
         return
       case 'closeStatement':
         // The connection keeps the statement for others: the caller's name for it is gone already.
-        this.#slots.closes.push('pass')
-        output.push(CLOSE_NOTHING)
+        this.#slots.closes.push('forward')
+        output.push(CLOSE_MISSING_PORTAL)
         return
       default:
         assertNever(step)
     }
   }
 
-  #noteClose(frame: Buffer): void {
-    if (frame[0] === CallerMessage.close) this.#slots.closes.push('pass')
+  #expectClose(frame: Buffer): void {
+    if (frame[0] === CallerMessage.close) this.#slots.closes.push('forward')
   }
 
   #encodeParse(step: Extract<RequestStep, { kind: 'parse' }>, output: Buffer[]): void {
     const { statement } = step
-    const slot: ParseSlot = { swallowed: false, statement, callerName: step.name }
+    const slot: ParseSlot = { hidden: false, statement, callerName: step.name }
     if (statement.serverName === '') {
       this.#unnamed = statement
       this.#slots.parses.push(slot)
       output.push(step.frame)
       return
     }
-    if (this.#held.holds(statement.serverName)) {
+    if (this.#statements.touch(statement.serverName)) {
       // Its answer has the right place among the others and becomes the ParseComplete.
       this.#slots.closes.push('asParseComplete')
-      output.push(CLOSE_NOTHING)
+      output.push(CLOSE_MISSING_PORTAL)
       return
     }
     this.#prepare(slot, output)
@@ -166,7 +166,7 @@
   #encodeUse(step: Extract<RequestStep, { kind: 'use' }>, output: Buffer[]): void {
     const { statement, frame } = step
     if (statement === null) {
-      output.push(rename(step, UNKNOWN_STATEMENT))
+      output.push(withStatementName(step, UNKNOWN_STATEMENT))
       return
     }
     if (statement.serverName === '') {
@@ -174,24 +174,24 @@
       output.push(frame)
       return
     }
-    if (!this.#held.holds(statement.serverName)) {
-      this.#prepare({ swallowed: true, statement, callerName: null }, output)
+    if (!this.#statements.touch(statement.serverName)) {
+      this.#prepare({ hidden: true, statement, callerName: null }, output)
     }
-    output.push(rename(step, Buffer.from(`${statement.serverName}\0`, 'latin1')))
+    output.push(withStatementName(step, Buffer.from(`${statement.serverName}\0`, 'latin1')))
   }
 
   #prepareUnnamed(statement: PreparedStatement, output: Buffer[]): void {
     this.#unnamed = statement
-    this.#slots.parses.push({ swallowed: true, statement, callerName: null })
+    this.#slots.parses.push({ hidden: true, statement, callerName: null })
     output.push(parseMessage('', statement.body))
   }
 
   #prepare(slot: ParseSlot, output: Buffer[]): void {
     const { serverName, body } = slot.statement
-    this.#held.add(serverName)
-    for (const surplus of this.#held.takeSurplus()) {
-      this.#slots.closes.push('swallow')
-      output.push(closeMessage('statement', surplus))
+    this.#statements.add(serverName)
+    for (const evicted of this.#statements.evictOverLimit()) {
+      this.#slots.closes.push('discard')
+      output.push(closeMessage('statement', evicted))
     }
     this.#slots.parses.push(slot)
     output.push(parseMessage(serverName, body))
@@ -199,7 +199,7 @@
 }
 
 /** The frame with another statement name, and its length set right. */
-function rename(step: Extract<RequestStep, { kind: 'use' }>, name: Buffer): Buffer {
+function withStatementName(step: Extract<RequestStep, { kind: 'use' }>, name: Buffer): Buffer {
   const { frame, nameStart, nameEnd } = step
   const renamed = Buffer.allocUnsafe(frame.length - (nameEnd - nameStart) + name.length)
   frame.copy(renamed, 0, 0, nameStart)
--- a/packages/proxy/src/sessionState.ts
+++ b/packages/proxy/src/sessionState.ts
@@ -8,16 +8,16 @@
 import type { CallerRequest } from './callerRequest.js'
 import type { CallerSettings } from './callerSettings.js'
 import type { CallerIdentity } from './callerStartup.js'
-import { isLocalSetting } from './transactionWords.js'
+import { isLocalSetting } from './transactionCommands.js'
 
-export interface SettingsHolder {
+export interface SettingsOwner {
   readonly settings: CallerSettings
   readonly identity: CallerIdentity | null
 }
 
 /** Takes over the settings of the startup packet once they have run; a refusal when they did not. */
-export function noteStartupSettings(
-  caller: SettingsHolder,
+export function recordStartupSettings(
+  caller: SettingsOwner,
   connection: BackendConnection,
   outcome: RunOutcome,
 ): Refusal | null {
@@ -26,14 +26,15 @@
     const detail = `the backend server refuses the settings at startup (${outcome.sqlState ?? ''})`
     return { reason: 'malformed', detail }
   }
-  const kept = caller.identity?.settings.every(statement => caller.settings.add(statement)) ?? true
-  connection.setup.adopt(caller.settings)
-  return kept ? null : { reason: 'unsupported', detail: 'too many settings at startup' }
+  const isWithinLimit =
+    caller.identity?.settings.every(statement => caller.settings.add(statement)) ?? true
+  connection.setup.recordSettings(caller.settings)
+  return isWithinLimit ? null : { reason: 'unsupported', detail: 'too many settings at startup' }
 }
 
 /** False when the caller has made more settings than are remembered. */
-export function noteSessionState(
-  caller: SettingsHolder,
+export function recordSessionChanges(
+  caller: SettingsOwner,
   connection: BackendConnection,
   request: CallerRequest,
   outcome: RunOutcome,
@@ -41,13 +42,13 @@
 ): boolean {
   if (outcome.sessionTags.length === 0) return true
   return outcome.sessionTags.every(tag =>
-    noteTag(tag, caller, connection, request, outcome, insideTransaction),
+    recordSessionTag(tag, caller, connection, request, outcome, insideTransaction),
   )
 }
 
-function noteTag(
+function recordSessionTag(
   tag: SessionTag,
-  caller: SettingsHolder,
+  caller: SettingsOwner,
   connection: BackendConnection,
   request: CallerRequest,
   outcome: RunOutcome,
@@ -56,23 +57,23 @@
   switch (tag) {
     case 'SET':
     case 'RESET': {
-      const text = outcome.commands === 1 ? request.onlyText : null
+      const text = outcome.commands === 1 ? request.singleStatementText : null
       if (text !== null && isLocalSetting(text)) return true
       // Inside a transaction it may yet be rolled back, and in a script its text is not known.
       if (text === null || insideTransaction) {
         connection.setup.markDirty()
         return true
       }
-      const kept = caller.settings.add(text)
-      connection.setup.adopt(caller.settings)
-      return kept
+      const isWithinLimit = caller.settings.add(text)
+      connection.setup.recordSettings(caller.settings)
+      return isWithinLimit
     }
     case 'DISCARD ALL':
       caller.settings.clear()
-      connection.setup.noteDiscarded()
+      connection.setup.recordDiscardAll()
       return true
     case 'DEALLOCATE ALL':
-      connection.setup.noteDeallocated()
+      connection.setup.recordDeallocateAll()
       return true
     case 'DISCARD':
     case 'DEALLOCATE':
--- a/packages/proxy/src/statementCatalog.ts
+++ b/packages/proxy/src/statementCatalog.ts
@@ -14,7 +14,7 @@
 
 interface CatalogEntry {
   readonly statement: PreparedStatement
-  holders: number
+  references: number
 }
 
 const UNNAMED = ''
@@ -33,12 +33,12 @@
     const key = body.toString('latin1')
     const known = this.#entries.get(key)
     if (known !== undefined) {
-      known.holders += 1
+      known.references += 1
       return known.statement
     }
     this.#lastNumber += 1
     const statement = describeStatement(`${SERVER_NAME_PREFIX}${this.#lastNumber}`, body)
-    this.#entries.set(key, { statement, holders: 1 })
+    this.#entries.set(key, { statement, references: 1 })
     return statement
   }
 
@@ -47,8 +47,8 @@
     const key = statement.body.toString('latin1')
     const entry = this.#entries.get(key)
     if (entry?.statement !== statement) return
-    entry.holders -= 1
-    if (entry.holders === 0) this.#entries.delete(key)
+    entry.references -= 1
+    if (entry.references === 0) this.#entries.delete(key)
   }
 }
 
@@ -100,7 +100,7 @@
   }
 
   /** Undoes a definition that the backend server refused, unless a later one took the name. */
-  forgetIf(name: string, statement: PreparedStatement): void {
+  forgetDefinition(name: string, statement: PreparedStatement): void {
     if (this.find(name) === statement) this.forget(name)
   }
 
--- a/packages/transport/src/jsonRpcConnection.ts
+++ b/packages/transport/src/jsonRpcConnection.ts
@@ -57,7 +57,7 @@
       })
   }
 
-  /** Bytes queued for sending that are not yet written to the network. */
+  /** Bytes buffered for sending that the operating system has not accepted yet. */
   get unsentBytes(): number {
     return this.#socket.writableLength
   }
--- a/packages/transport/src/storeClient.ts
+++ b/packages/transport/src/storeClient.ts
@@ -57,7 +57,7 @@
     return this.#count('list', answer)
   }
 
-  /** After a failure the swap may have taken effect: read the value back to find out. */
+  /** After a failure the swap may have taken effect: read the key back and look for this attempt's value. */
   compareAndSwap(
     params: StoreCompareAndSwapParams,
     timeoutMilliseconds = this.#timeoutMilliseconds,
