--- a/packages/proxy/src/activeRequest.ts
+++ b/packages/proxy/src/activeRequest.ts
@@ -1,4 +1,4 @@
-/** A request between its start and its final answer, and what its outcome means. */
+/** The state of a request between its start and its final answer, and the evaluation of its outcome. */
 import { TransactionStatus, type TransactionStatusByte } from '@nutmegcourse/protocol'
 import type { BackendConnection } from './backendConnection.js'
 import type { BackendRun, RunOutcome } from './backendRun.js'
@@ -15,9 +15,9 @@
   mode: RunMode | null
   answer: AnswerBuffer | null
   connection: BackendConnection | null
-  /** Set once the whole answer is in and waits for the core's word. */
+  /** Set while a complete answer is held until the core acknowledges or refuses it. */
   outcome: RunOutcome | null
-  /** Refused before its Sync came: ReadyForQuery with this status is still owed. */
+  /** Set if the request was refused before its Sync: ReadyForQuery with this status follows the Sync. */
   pendingReadyStatus: TransactionStatusByte | null
 }
 
@@ -40,11 +40,11 @@
 
 const DISCARDING_TARGET: AnswerTarget = { write: () => undefined }
 
-/** Who gets the answer. */
+/** Where the answer goes. Answers to requests that the proxy made itself are discarded. */
 export const answerTargetOf = (active: ActiveRequest): AnswerTarget =>
   active.request.purpose === 'statement' ? active.caller : DISCARDING_TARGET
 
-/** What the caller finds itself in after an error: a lost transaction lasts until its ROLLBACK. */
+/** The transaction status after an error: a lost transaction stays failed until its ROLLBACK. */
 export function statusAfterRefusal(active: ActiveRequest): TransactionStatusByte {
   if (!active.insideTransaction || active.outcome !== null) return TransactionStatus.idle
   const text = active.request.singleStatementText
@@ -52,14 +52,15 @@
   return isCommit ? TransactionStatus.idle : TransactionStatus.failed
 }
 
-/** Errors by which a server says that it takes no writes, or nothing, now. */
 export const READ_ONLY_VIOLATION = '25006'
+/** SQLSTATEs of a server that currently accepts no writes, or no statements at all. */
 const NOT_ACCEPTING_WRITES: ReadonlySet<string> = new Set([READ_ONLY_VIOLATION, '57P03'])
 
 /**
- * A primary that was replaced refuses a write whole. It may go to the new one, though it may not be
- * repeated otherwise: an error in place of the first command's completion means that nothing ran. An
- * error that ends the connection is not taken for such a refusal, since it may cut off an answer.
+ * Whether a server refused a write before any part of it ran, as a replaced primary does. Such a write
+ * may be sent to the new primary even if it must not be retried otherwise: an error in place of the
+ * first command's completion means that nothing ran. An error that closes the connection does not
+ * count, since it may cut off an answer.
  */
 export function isRefusedBeforeRunning(
   active: ActiveRequest,
@@ -77,7 +78,7 @@
   )
 }
 
-/** The caller's names for statements that the server refused or skipped mean nothing. */
+/** Removes the caller's names of statements whose Parse the server refused or skipped. */
 export function forgetFailedPrepares(caller: CallerConnection, outcome: RunOutcome): void {
   for (const slot of outcome.failedParses) {
     if (slot.callerName !== null)
--- a/packages/proxy/src/answerBuffer.ts
+++ b/packages/proxy/src/answerBuffer.ts
@@ -1,11 +1,12 @@
 /**
- * The answer of one request on its way to the caller. Either streamed as it comes, or held until the
- * core acknowledges: then rows may leave early when they are many, but never what tells success.
+ * Buffers the answer to one request on its way to the caller. It is either streamed, or held until the
+ * core acknowledges it. Large amounts of held rows are sent early, but never the part that reports
+ * success.
  */
 
-/** Held rows beyond this are streamed, so that a large RETURNING does not fill memory. */
+/** Held rows are sent early above this size, so that a large RETURNING does not exhaust memory. */
 export const HELD_ROWS_LIMIT_BYTES = 256 * 1024
-/** What may stay held once a CommandComplete is among it, since nothing behind may overtake it. */
+/** Limit once a CommandComplete is held, since nothing after it may be sent before it. */
 export const HELD_LIMIT_BYTES = 16 * 1024 * 1024
 
 export interface AnswerTarget {
@@ -18,7 +19,7 @@
   #chunks: Buffer[] = []
   #bytes = 0
   #sealed = false
-  /** Whether the caller has any of the answer. */
+  /** Whether any part of the answer was sent to the caller. */
   partlySent = false
 
   constructor(target: AnswerTarget, holding: boolean) {
@@ -30,7 +31,7 @@
     return this.#holding
   }
 
-  /** False when more is held than may be. */
+  /** False if the answer exceeds the limit for held bytes. */
   push(bytes: Buffer): boolean {
     if (!this.#holding) {
       this.partlySent = true
@@ -44,23 +45,23 @@
     return true
   }
 
-  /** What comes from here on waits for the release. */
+  /** Holds further bytes until `release`. */
   hold(): void {
     this.#holding = true
   }
 
-  /** From here on nothing leaves before the release: what comes next tells success. */
+  /** Sends nothing more before `release`: the following bytes report success. */
   seal(): void {
     this.#sealed = true
   }
 
-  /** Sends what is held, and lets the rest pass. */
+  /** Sends the held bytes and streams the rest. */
   release(): void {
     this.#holding = false
     this.#flush()
   }
 
-  /** Drops what is held; what the caller has already stays with it. */
+  /** Discards the held bytes. Bytes already sent are not affected. */
   drop(): void {
     this.#chunks = []
     this.#bytes = 0
--- a/packages/proxy/src/backendConnection.ts
+++ b/packages/proxy/src/backendConnection.ts
@@ -25,7 +25,7 @@
 export interface BackendConnectionEvents {
   opened(connection: BackendConnection): void
   openFailed(connection: BackendConnection, failure: ConnectFailure, detail: string): void
-  /** It is of no use any more. Comes once, never after `openFailed` or `close`. */
+  /** The connection is unusable. Emitted at most once, and never after `openFailed` or `close`. */
   closed(connection: BackendConnection, run: BackendRun | null, detail: string): void
   answered(connection: BackendConnection, run: BackendRun): void
   ended(connection: BackendConnection, run: BackendRun, outcome: RunOutcome): void
@@ -42,19 +42,19 @@
   readonly settings: CallerSettings
   readonly readOnly: boolean
   readonly queriesPosition: boolean
-  /** The request continues a transaction: nothing may be put before it. */
+  /** The request continues a transaction: no setup queries may be sent before it. */
   readonly insideTransaction: boolean
 }
 
 /**
- * All backend connections read into one buffer, since each chunk is dealt with before the next is read:
- * one allocation in place of one a read.
+ * Shared read buffer of all backend connections, which saves an allocation per read. Each chunk is
+ * processed completely before the next one is read.
  */
 const READ_BUFFER = Buffer.allocUnsafeSlow(64 * 1024)
 const KEEP_ALIVE_MILLISECONDS = 10_000
 const APPLICATION_NAME = 'nutmegcourse-proxy'
 const POSITION_QUERY = queryMessage(POSITION_STATEMENT)
-/** A server that has forgotten a statement, or has one the proxy does not know of, is cleaned up. */
+/** Errors that show that the server's prepared statements differ from the proxy's record of them. */
 const STATEMENT_MISMATCH_STATES: ReadonlySet<string> = new Set(['26000', '42P05', '0A000'])
 
 type State = 'opening' | 'open' | 'closed'
@@ -97,7 +97,7 @@
       onread: { buffer: READ_BUFFER, callback: this.#read },
     })
     this.#openTimer = setTimeout(() => {
-      this.#failOpening('timeout', 'no answer to the connection attempt in time')
+      this.#failOpening('timeout', 'connection attempt timed out')
     }, options.connectTimeoutMilliseconds)
     this.#listen()
   }
@@ -106,7 +106,7 @@
     return this.#state
   }
 
-  /** What the server told of itself at startup. */
+  /** Parameters that the server reported at startup. */
   get parameters(): ReadonlyMap<string, string> {
     return this.#startup.parameters
   }
@@ -115,12 +115,12 @@
     return this.#run
   }
 
-  /** Whether a frame reached the caller in part: nothing can be said to it any more. */
+  /** Whether only part of a frame was received, so that no other message may follow it to the caller. */
   get insideFrame(): boolean {
     return this.#frames.insideFrame
   }
 
-  /** Sends a request with what must stand around it, in one write. */
+  /** Sends a request, with the setup queries before it and the position query after it, in one write. */
   start(runRequest: RunRequest): void {
     const { request } = runRequest
     const output = runRequest.insideTransaction
@@ -132,7 +132,7 @@
     this.#sentSteps = 0
     this.#queriesPosition = runRequest.queriesPosition
     if (this.#state !== 'open') {
-      this.#closeOnError('the connection was closed before the request was sent')
+      this.#closeOnError('connection closed before the request was sent')
       return
     }
     if (request.shape.kind === 'simple') output.push(request.shape.frame)
@@ -140,7 +140,7 @@
     this.#writeAll(output)
   }
 
-  /** Sends what a running request has got from its caller since. */
+  /** Sends the messages that a running request has received from its caller since. */
   sendMore(): void {
     if (this.#run === null || this.#state !== 'open') return
     const output: Buffer[] = []
@@ -148,7 +148,7 @@
     this.#writeAll(output)
   }
 
-  /** The caller does not take its answer: no more of it is read. */
+  /** Stops reading the answer while the caller does not receive it. */
   pause(): void {
     this.#socket.pause()
   }
@@ -158,9 +158,9 @@
   }
 
   /**
-   * Asks the server to cancel the running request. A cancel names the connection, not the request, so a
-   * late one would hit whatever runs next, perhaps another caller's. Hence the request does not end
-   * here before the server has taken the cancel, which shows by the server closing that connection.
+   * Asks the server to cancel the running request. A cancel identifies the connection, not the request,
+   * so a late one would hit the next request, perhaps of another caller. The request therefore does not
+   * end before the server has processed the cancel and closed the connection that carried it.
    */
   cancel(): void {
     const { key } = this.#startup
@@ -171,7 +171,7 @@
     })
   }
 
-  /** Closes without telling: whoever calls this knows. */
+  /** Closes the connection without emitting an event. */
   close(): void {
     this.#state = 'closed'
     this.#clearOpenTimer()
@@ -217,7 +217,7 @@
     const chunk = buffer === READ_BUFFER ? READ_BUFFER.subarray(0, length) : Buffer.from(buffer)
     const readable = this.#frames.push(chunk, this)
     this.#run?.flush()
-    if (!readable) this.#closeOnError('the backend server sent no PostgreSQL frame')
+    if (!readable) this.#closeOnError('backend server sent bytes that are not a PostgreSQL frame')
     return true
   }
 
@@ -233,7 +233,7 @@
       this.#closeOnError(error.message, refused ? 'refused' : 'lost')
     })
     socket.on('close', () => {
-      this.#closeOnError('the backend server closed the connection')
+      this.#closeOnError('backend server closed the connection')
     })
   }
 
@@ -282,7 +282,7 @@
         this.#closeOnError(readServerError(bytes, start, end).message)
         return
       default:
-        this.#closeOnError('the backend server sent an answer to no request')
+        this.#closeOnError('backend server sent an answer without a request')
     }
   }
 
@@ -324,7 +324,7 @@
   #handleCancelDone(isAccepted: boolean): void {
     this.#cancelsInFlight -= 1
     if (!isAccepted) {
-      this.#closeOnError('a cancel request got lost on its way to the backend server')
+      this.#closeOnError('cancel request did not reach the backend server')
       return
     }
     const outcome = this.#pendingOutcome
@@ -337,18 +337,18 @@
 function describeFault(fault: RunFault): string {
   switch (fault.kind) {
     case 'fatalError':
-      return `the backend server ended the connection: ${fault.error.message}`
+      return `backend server closed the connection: ${fault.error.message}`
     case 'preparationFailed':
-      return `the connection could not be prepared: ${fault.error.message}`
+      return `connection setup failed: ${fault.error.message}`
     case 'unexpectedMessage':
-      return `the backend server sent an unexpected message of type ${fault.type}`
+      return `backend server sent an unexpected message of type ${fault.type}`
     case 'copy':
       return 'COPY is not supported'
     case 'answerTooLarge':
-      return 'the answer is too large to be held until its write is confirmed'
+      return 'answer exceeds the limit for holding it until its write is confirmed'
   }
 }
 
-/** Whether a later statement of the caller finds an open transaction. */
+/** Whether the request left a transaction open, including a failed one. */
 export const isTransactionOpen = (outcome: RunOutcome): boolean =>
   outcome.status !== TransactionStatus.idle
--- a/packages/proxy/src/backendRun.ts
+++ b/packages/proxy/src/backendRun.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt of a request on one backend connection: tells the caller's answer from the answers to what
- * the proxy sent around it, in the order of the protocol.
+ * One attempt to run a request on a backend connection: separates the caller's answer from the answers
+ * to the proxy's own messages before and after the request.
  */
 import {
   ServerMessage,
@@ -27,41 +27,41 @@
   readonly failed: boolean
   /** Commands that succeeded. */
   readonly commands: number
-  /** Tags, each once, of the commands that change more than data and transactions. */
+  /** Distinct tags of the commands that change session state. */
   readonly sessionTags: readonly SessionTag[]
   /** SQLSTATE of the last error of the answer. */
   readonly sqlState: string | null
   /** Prepared statements whose Parse was not answered with success. */
   readonly failedParses: readonly ParseSlot[]
-  /** The proxy's own clean-up was skipped after an error. */
+  /** The server skipped Close messages of the proxy after an error. */
   readonly closesSkipped: boolean
 }
 
-/** Why a connection can not be used any further in the middle of a run. */
+/** Why a connection became unusable during a run. */
 export type RunFault =
-  /** The server ends the connection; its error tells why. */
+  /** The server closes the connection with this error. */
   | { readonly kind: 'fatalError'; readonly error: ServerError }
-  /** What the proxy sent ahead of the request failed, so the request ran under unknown settings. */
+  /** A setup query before the request failed, so the request ran with unknown settings. */
   | { readonly kind: 'preparationFailed'; readonly error: ServerError }
   | { readonly kind: 'unexpectedMessage'; readonly type: number }
   | { readonly kind: 'copy' }
   | { readonly kind: 'answerTooLarge' }
 
 export interface RunEvents {
-  /** The caller's answer is whole; the position question may still be open. */
+  /** The caller's answer is complete; the position query may still be outstanding. */
   answered(run: BackendRun): void
   ended(run: BackendRun, outcome: RunOutcome): void
   faulted(run: BackendRun, fault: RunFault): void
 }
 
 export interface RunPlan {
-  /** Answers to swallow before the caller's. */
+  /** Number of answers to discard before the caller's. */
   readonly preparations: number
-  /** The position question follows the request. */
+  /** A position query follows the request. */
   readonly queriesPosition: boolean
 }
 
-/** Tags of commands whose effect stays on the connection when their transaction is over. */
+/** Tags of commands whose effect on the session outlasts their transaction. */
 const SESSION_TAGS = [
   'SET',
   'RESET',
@@ -80,7 +80,7 @@
   SESSION_TAGS.map(tag => [tag, tag]),
 )
 
-/** Of these, the ones that a caller of pooled connections could not make use of afterwards. */
+/** Session commands that are refused because their effect is not available on pooled connections. */
 const REFUSED_TAGS: ReadonlySet<string> = new Set<SessionTag>(['LISTEN', 'PREPARE'])
 const COMMIT_TAG = 'COMMIT'
 const CLOSE_COMPLETE_TYPE = ServerMessage.closeComplete
@@ -96,7 +96,7 @@
   readonly #queriesPosition: boolean
   #preparations: number
   #phase: Phase
-  /** Neighbouring frames that all go to the caller leave as one piece. */
+  /** Adjacent frames for the caller, sent in one piece. */
   #pending: Buffer | null = null
   #pendingStart = 0
   #pendingEnd = 0
@@ -119,7 +119,7 @@
     this.#phase = plan.preparations > 0 ? 'preparations' : 'answer'
   }
 
-  /** Whether the caller's whole answer came, ReadyForQuery included. */
+  /** Whether the caller's whole answer has arrived, including ReadyForQuery. */
   get isAnswered(): boolean {
     return this.#isAnswered
   }
@@ -129,7 +129,7 @@
     return this.#status
   }
 
-  /** Nothing of it is wanted any more. */
+  /** Ignores further messages and discards the held part of the answer. */
   abandon(): void {
     this.#phase = 'ended'
     this.#pending = null
@@ -165,12 +165,12 @@
     }
   }
 
-  /** The chunk at hand is read: what is for the caller leaves now. */
+  /** Sends the pending bytes to the caller at the end of a received chunk. */
   flush(): void {
     const bytes = this.#pending
     if (bytes === null) return
     this.#pending = null
-    // A copy: the socket's buffer is reused for the next chunk of any backend connection.
+    // Copied because the read buffer is reused for the next chunk of any backend connection.
     const piece = Buffer.allocUnsafe(this.#pendingEnd - this.#pendingStart)
     bytes.copy(piece, 0, this.#pendingStart, this.#pendingEnd)
     if (!this.answer.push(piece)) this.#fault({ kind: 'answerTooLarge' })
@@ -228,7 +228,7 @@
         this.#forward(bytes, start, end)
         return
       case ServerMessage.notificationResponse:
-        // Meant for whoever listened on this connection before; nobody does on a pooled one.
+        // LISTEN is refused on pooled connections, so no caller expects notifications.
         return
       case ServerMessage.copyInResponse:
       case ServerMessage.copyOutResponse:
@@ -241,7 +241,7 @@
     }
   }
 
-  /** No data of a COPY ever went to the server, so closing the connection undoes what was begun. */
+  /** No COPY data was sent to the server, so closing the connection rolls back the statement. */
   #refuseCopy(): void {
     if (!this.#committed)
       this.request.replacementRefusal = { reason: 'unsupported', detail: 'COPY' }
@@ -328,7 +328,7 @@
       this.#rowPieces.length === 1 && only !== undefined ? only : Buffer.concat(this.#rowPieces)
     this.#rowPieces = []
     const report = readPositionReport(readDataRow(row, 0, row.length))
-    // A replica's word is no position of this write: the server stopped leading before it answered.
+    // A position reported by a replica does not cover this write: the server was demoted before answering.
     this.#position = report?.role === 'primary' ? report.position : null
   }
 
--- a/packages/proxy/src/backendStartup.ts
+++ b/packages/proxy/src/backendStartup.ts
@@ -1,4 +1,4 @@
-/** The startup exchange of one backend connection: what the server tells before its first request. */
+/** Reads the server's messages during the startup of a backend connection. */
 import {
   ServerMessage,
   readServerError,
@@ -20,7 +20,7 @@
 const BODY_START = 5
 const SECRET_START = BODY_START + 4
 
-/** Whole frames shorter than this lack a field that is read. */
+/** Minimum frame lengths by message type; a shorter frame lacks a field that is read. */
 const MINIMUM_FRAME_BYTES: ReadonlyMap<number, number> = new Map([
   [ServerMessage.authentication, BODY_START + 4],
   [ServerMessage.backendKeyData, SECRET_START + 4],
@@ -33,20 +33,20 @@
   readonly parameters = new Map<string, string>()
   #key: BackendKey | null = null
 
-  /** Names the connection in a CancelRequest; null when the server gave none. */
+  /** Identifies the connection in a CancelRequest; null if the server sent no key. */
   get key(): BackendKey | null {
     return this.#key
   }
 
   read(...[type, bytes, start, end]: Frame): StartupStep {
     if (end - start < (MINIMUM_FRAME_BYTES.get(type) ?? 0))
-      return failed('a startup message is cut short')
+      return failed('startup message is truncated')
     switch (type) {
       case ServerMessage.authentication: {
         const method = bytes.readInt32BE(start + BODY_START)
         return method === AUTHENTICATION_OK
           ? PENDING
-          : failed('the backend server wants a password')
+          : failed('backend server requires authentication')
       }
       case ServerMessage.backendKeyData:
         this.#key = {
--- a/packages/proxy/src/backoff.ts
+++ b/packages/proxy/src/backoff.ts
@@ -1,4 +1,4 @@
-/** Waits between attempts that fail: doubled each time, jittered so that a fleet does not knock at once. */
+/** Exponential backoff with jitter, so that the proxies of a fleet do not retry simultaneously. */
 import type { RandomSource } from '@nutmegcourse/shared'
 
 export interface BackoffLimits {
@@ -20,7 +20,7 @@
     this.#failures = 0
   }
 
-  /** How long to wait after one more failure, in milliseconds. */
+  /** Records a failure and returns the delay before the next attempt. */
   nextDelayMilliseconds(): number {
     const { firstMilliseconds, longestMilliseconds } = this.#limits
     const delay = Math.min(longestMilliseconds, firstMilliseconds * 2 ** this.#failures)
--- a/packages/proxy/src/callerRegistry.ts
+++ b/packages/proxy/src/callerRegistry.ts
@@ -1,4 +1,4 @@
-/** The callers of this proxy, and the keys by which a CancelRequest names them. */
+/** The connected callers of this proxy, by the keys that identify them in a CancelRequest. */
 import { randomInt } from 'node:crypto'
 import type { Socket } from 'node:net'
 import { refusalResponse } from '@nutmegcourse/protocol'
@@ -7,7 +7,7 @@
 import { StatementCatalog } from './statementCatalog.js'
 
 const KEY_LIMIT = 0x7fff_ffff
-/** Time for a caller beyond the limit to take its refusal. */
+/** Time for a caller beyond the limit to read its refusal. */
 const CLOSE_TIMEOUT_MILLISECONDS = 2000
 const RETRY_AFTER_MILLISECONDS = 1000
 
@@ -30,19 +30,19 @@
     return this.#callers.size
   }
 
-  /** Texts that callers have prepared by name, each counted once. */
+  /** Number of distinct statement texts that callers have prepared by name. */
   get preparedStatements(): number {
     return this.#catalog.size
   }
 
-  /** Bytes that callers have not taken yet. */
+  /** Bytes written to callers that are not sent yet. */
   get unsentBytes(): number {
     let bytes = 0
     for (const caller of this.#callers.values()) bytes += caller.unsentBytes
     return bytes
   }
 
-  /** Null, and the caller is told, when there are as many as may be. */
+  /** Returns null and sends a refusal if the caller limit is reached. */
   add(socket: Socket): CallerConnection | null {
     if (this.#callers.size >= this.#options.callerLimit) {
       refuseConnection(socket)
@@ -58,7 +58,7 @@
     this.#callers.delete(caller.key.processId)
   }
 
-  /** Null unless the secret is right too. */
+  /** Null if the process id is unknown or the secret does not match. */
   find(key: CancelKey): CallerConnection | null {
     const caller = this.#callers.get(key.processId)
     return caller?.key.secret === key.secret ? caller : null
@@ -84,7 +84,7 @@
   const retryAfterMilliseconds = RETRY_AFTER_MILLISECONDS
   socket.on('error', () => undefined)
   socket.end(refusalResponse({ reason: 'too_many_callers', retryAfterMilliseconds }, 'FATAL'))
-  // Bytes that nobody reads would make the kernel reset the connection before the error arrives.
+  // Unread received bytes would make the kernel reset the connection before the error is delivered.
   socket.resume()
   socket.setTimeout(CLOSE_TIMEOUT_MILLISECONDS, () => socket.destroy())
 }
--- a/packages/proxy/src/callerRequest.ts
+++ b/packages/proxy/src/callerRequest.ts
@@ -1,6 +1,6 @@
 /**
- * One request of a caller: a simple Query, or extended messages up to Sync. It is the unit that the
- * core places, that runs on one connection, and that gets exactly one final answer.
+ * One request of a caller: a simple Query, or extended-protocol messages up to Sync. The core routes each
+ * request to one connection, and it gets exactly one final answer.
  */
 import { FRAME_HEADER_BYTES, readStatementComment } from '@nutmegcourse/protocol'
 import { className, type ClassName, type RequestId, type Refusal } from '@nutmegcourse/shared'
@@ -12,21 +12,21 @@
 export class CallerRequest {
   readonly id: RequestId
   readonly shape: RequestShape
-  /** Extended messages so far; empty for a simple query. */
+  /** Extended-protocol messages received so far; empty for a simple query. */
   readonly steps: RequestStep[] = []
-  /** Steps up to here may be sent: a Flush or Sync stands behind them. */
+  /** Number of steps that may be sent, as a Flush or Sync follows them. */
   sendableSteps = 0
-  /** Nothing more of it will come from the caller. */
+  /** Whether the caller has sent the whole request. */
   complete: boolean
   bufferedBytes: number
   /** Named by a comment in one of its statements. */
   commentClass: ClassName | null = null
   idempotencyKey: string | null = null
-  /** Set once, when the core is told. */
+  /** Set when the request is submitted to the core. */
   class: ClassName | null = null
-  /** The answer that the caller gets in place of a broken connection's. */
+  /** Sent to the caller in place of the refusal that a broken connection leads to. */
   replacementRefusal: Refusal | null = null
-  /** The caller knows nothing of a request that the proxy makes for it. */
+  /** `startupSettings` marks a request made by the proxy, whose answer the caller does not receive. */
   purpose: 'statement' | 'startupSettings' = 'statement'
   started = false
   finished = false
@@ -59,7 +59,7 @@
     this.idempotencyKey ??= comment?.idempotencyKey ?? null
   }
 
-  /** The caller waits for the answers to what it has sent. */
+  /** Allows all steps received so far to be sent. */
   flush(): void {
     this.sendableSteps = this.steps.length
   }
@@ -70,7 +70,7 @@
     this.complete = true
   }
 
-  /** Its statement's text, when it has exactly one. */
+  /** The text of the request's only statement; null if it has none or several. */
   get singleStatementText(): string | null {
     if (this.shape.kind === 'simple') {
       const { frame } = this.shape
--- a/packages/proxy/src/callerSettings.ts
+++ b/packages/proxy/src/callerSettings.ts
@@ -1,20 +1,20 @@
 /**
  * The session settings of one caller. Pooled connections are shared, so the caller's SET statements
- * are remembered and repeated on whichever connection its next request gets.
+ * are recorded and run again on each connection that its requests use.
  */
 
-/** More are no settings but a program; the caller is told so. */
+/** SET statements recorded per caller. More are not regarded as settings, and the caller gets an error. */
 export const SETTINGS_LIMIT = 64
 const SETTINGS_LIMIT_CHARACTERS = 16 * 1024
 
-/** Nobody's settings: the state of a fresh connection. */
+/** Key of a new connection's settings. */
 export const DEFAULT_SETTINGS_KEY = ''
 
 export class CallerSettings {
   #statements: readonly string[] = []
   #key = DEFAULT_SETTINGS_KEY
 
-  /** Equal keys mean equal settings; the empty one means none. */
+  /** Equal keys mean equal settings; an empty key means default settings. */
   get key(): string {
     return this.#key
   }
@@ -23,7 +23,7 @@
     return this.#statements
   }
 
-  /** False when there are too many. A repeated statement moves to the end. */
+  /** Returns false if a limit is exceeded. A repeated statement moves to the end. */
   add(statement: string): boolean {
     const statements = [...this.#statements.filter(known => known !== statement), statement]
     const key = statements.join('\0')
@@ -39,7 +39,7 @@
   }
 }
 
-/** Startup parameters that are not settings of the backend server's session. */
+/** Startup parameters that are not session settings of the backend server. */
 const NON_SETTING_PARAMETERS = new Set([
   'user',
   'database',
@@ -48,11 +48,11 @@
   'application_name',
 ])
 const PROXY_OPTION_PREFIX = 'nutmegcourse.'
-/** What a fresh connection has anyway. */
+/** Values that a new connection already has. */
 const DEFAULT_VALUES = new Map([['client_encoding', /^(?:utf-?8|unicode)$/i]])
 const SETTING_NAME = /^[A-Za-z_][A-Za-z0-9_.]*$/
 
-/** Turns startup parameters into the SET statements that have the same effect. */
+/** Converts startup parameters to equivalent SET statements. */
 export function toSetStatements(parameters: Iterable<readonly [string, string]>): string[] {
   const statements: string[] = []
   for (const [name, value] of parameters) {
--- a/packages/proxy/src/callerStartupResponse.ts
+++ b/packages/proxy/src/callerStartupResponse.ts
@@ -1,4 +1,4 @@
-/** What a caller is told once it is admitted. */
+/** The messages sent to a caller when its startup is accepted. */
 import {
   AUTHENTICATION_OK,
   TransactionStatus,
@@ -8,7 +8,7 @@
   readyForQuery,
 } from '@nutmegcourse/protocol'
 
-/** Names a caller in CancelRequest. */
+/** Identifies a caller in a CancelRequest. */
 export interface CancelKey {
   readonly processId: number
   readonly secret: number
@@ -18,9 +18,9 @@
   /** ParameterStatus values. */
   readonly statuses: ReadonlyMap<string, string>
   readonly key: CancelKey
-  /** The protocol's minor version that the client asked for. */
+  /** Minor protocol version requested by the client. */
   readonly minorVersion: number
-  /** Protocol options that this side does not know. */
+  /** Protocol options that the proxy does not support. */
   readonly unknownOptions: readonly string[]
 }
 
--- a/packages/proxy/src/callerTransactions.ts
+++ b/packages/proxy/src/callerTransactions.ts
@@ -1,15 +1,15 @@
-/** Which caller's transaction is open on which connection, and whose was lost with its connection. */
+/** Tracks callers' open transactions by connection, and transactions lost with their connection. */
 import type { ClassName } from '@nutmegcourse/shared'
 import type { BackendConnection } from './backendConnection.js'
 import type { CallerConnection } from './callerConnection.js'
 
-/** How a request runs; the statements of a transaction run as its first one did. */
+/** How a request runs. All requests of a transaction use the mode of its first one. */
 export interface RunMode {
   readonly readOnly: boolean
   readonly holdAnswer: boolean
 }
 
-/** Where a caller stands between its requests. */
+/** Transaction state of a caller between its requests. */
 export type CallerTransaction =
   | { readonly kind: 'none' }
   | {
@@ -18,7 +18,7 @@
       readonly mode: RunMode
       readonly class: ClassName | null
     }
-  /** Its connection is gone; `told` once the caller has had an error for it. */
+  /** Its connection was closed; `isReported` once the caller has received an error for it. */
   | { readonly kind: 'lost'; readonly isReported: boolean }
 
 export type PinnedTransaction = Extract<CallerTransaction, { kind: 'pinned' }>
@@ -29,7 +29,7 @@
   readonly #byCaller = new Map<CallerConnection, CallerTransaction>()
   readonly #callersByConnection = new Map<BackendConnection, CallerConnection>()
 
-  /** How many are open. */
+  /** Number of open transactions. */
   get openCount(): number {
     return this.#callersByConnection.size
   }
@@ -43,7 +43,7 @@
     this.#callersByConnection.set(transaction.connection, caller)
   }
 
-  /** It is over, and its connection is nobody's. */
+  /** Ends the caller's transaction and unpins its connection. */
   end(caller: CallerConnection): void {
     this.#unpin(caller)
     this.#byCaller.delete(caller)
@@ -54,7 +54,7 @@
     this.#byCaller.set(caller, { kind: 'lost', isReported: isReported })
   }
 
-  /** A connection is gone; a transaction on it is lost. */
+  /** Marks a transaction open on a closed connection as lost. */
   handleConnectionClosed(connection: BackendConnection): void {
     const caller = this.#callersByConnection.get(connection)
     if (caller !== undefined) this.markLost(caller, false)
--- a/packages/proxy/src/cancelSender.ts
+++ b/packages/proxy/src/cancelSender.ts
@@ -1,4 +1,4 @@
-/** Sends a CancelRequest to a backend server, over a connection of its own as the protocol wants it. */
+/** Sends a CancelRequest to a backend server over a separate connection, as the protocol requires. */
 import { connect } from 'node:net'
 import { cancelRequest, type ListedBackendServer } from '@nutmegcourse/protocol'
 
@@ -7,7 +7,10 @@
   readonly secret: number
 }
 
-/** Resolves with whether the server has taken it, which shows by the server closing the connection. */
+/**
+ * Resolves to whether the cancel is settled: the server closed the connection after receiving it, or it
+ * was never sent.
+ */
 export function sendCancel(
   server: ListedBackendServer,
   key: BackendKey,
--- a/packages/proxy/src/classChoice.ts
+++ b/packages/proxy/src/classChoice.ts
@@ -1,4 +1,4 @@
-/** The class of a request: named by its comment, by its connection, or by the operators' defaults. */
+/** Chooses the class of a request: from its comment, its connection's options or the targets' defaults. */
 import type { ClassName, Refusal } from '@nutmegcourse/shared'
 import type { CallerRequest } from './callerRequest.js'
 import { findDefaultClass, type CallerIdentity } from './callerStartup.js'
@@ -8,7 +8,7 @@
   | { readonly kind: 'class'; readonly name: ClassName }
   | { readonly kind: 'refusal'; readonly refusal: Refusal }
 
-/** An agent that has just started learns the targets within about as long. */
+/** A newly started agent usually receives the targets within this time. */
 const CONFIGURATION_WAIT_MILLISECONDS = 1000
 
 export function chooseClass(
--- a/packages/proxy/src/connectionSetup.ts
+++ b/packages/proxy/src/connectionSetup.ts
@@ -1,4 +1,4 @@
-/** What a backend connection has of its session, and what makes it what the next request needs. */
+/** Tracks the session state of a backend connection and adapts it to the next request. */
 import { queryMessage } from '@nutmegcourse/protocol'
 import { DEFAULT_SETTINGS_KEY, type CallerSettings } from './callerSettings.js'
 import type { ConnectionStatements } from './connectionStatements.js'
@@ -9,7 +9,7 @@
   readWrite: queryMessage('SET SESSION CHARACTERISTICS AS TRANSACTION READ WRITE'),
 } as const
 
-/** Marks a connection whose state only DISCARD ALL makes known again; no caller's key is like it. */
+/** Marks a connection with unknown state that needs DISCARD ALL. No caller's key equals it. */
 const DIRTY_KEY = '\0dirty'
 
 export class ConnectionSetup {
@@ -21,7 +21,7 @@
     this.#statements = statements
   }
 
-  /** The queries that must run ahead of a request, taken as done from here on. */
+  /** Returns the queries that must run before a request, and records their effect as done. */
   prepare(settings: CallerSettings, readOnly: boolean): Buffer[] {
     const queries: Buffer[] = []
     if (this.#settingsKey !== settings.key) this.#switchSettings(settings, queries)
@@ -31,18 +31,18 @@
     return queries
   }
 
-  /** What the connection has of its session is not known to be anyone's. */
+  /** Records that the session state is unknown. */
   markDirty(): void {
     this.#settingsKey = DIRTY_KEY
   }
 
-  /** The request that just ended set the connection up as its caller wants it. */
+  /** Records that the connection has the caller's settings, changed by the request that just ended. */
   recordSettings(settings: CallerSettings): void {
     this.#settingsKey = settings.key
     this.#mode = 'unknown'
   }
 
-  /** The request that just ended reset everything, prepared statements too. */
+  /** Records that the request that just ended reset the session, including prepared statements. */
   recordDiscardAll(): void {
     this.#settingsKey = DEFAULT_SETTINGS_KEY
     this.#mode = 'unknown'
--- a/packages/proxy/src/connectionStatements.ts
+++ b/packages/proxy/src/connectionStatements.ts
@@ -1,6 +1,6 @@
-/** Which of the proxy's prepared statements one backend connection holds, least recently used first. */
+/** The proxy's prepared statements on one backend connection, least recently used first. */
 
-/** Plans cost a backend server memory, so a connection keeps a bounded number of them. */
+/** Prepared statements per connection. Limited, since their plans use memory of the backend server. */
 export const STATEMENT_LIMIT = 256
 
 export class ConnectionStatements {
@@ -11,6 +11,7 @@
     this.#limit = limit
   }
 
+  /** Returns whether the statement is prepared, and marks it as most recently used. */
   touch(name: string): boolean {
     if (!this.#names.delete(name)) return false
     this.#names.add(name)
@@ -30,7 +31,7 @@
     this.#names.clear()
   }
 
-  /** Takes out what is over the limit, for the caller of this method to close on the server. */
+  /** Removes statements over the limit and returns their names, which must be closed on the server. */
   evictOverLimit(): readonly string[] {
     const evicted: string[] = []
     for (const name of this.#names) {
--- a/packages/proxy/src/coreDriver.ts
+++ b/packages/proxy/src/coreDriver.ts
@@ -1,6 +1,6 @@
 /**
- * Carries messages to the decision core one at a time and has its effects carried out in order.
- * One timer serves every deadline of the core: no request has a timer of its own.
+ * Passes messages to the decision core one at a time and executes its effects in order. A single timer
+ * serves all deadlines of the core, instead of one timer per request.
  */
 import type { Clock, Milliseconds } from '@nutmegcourse/shared'
 import type { ProxyEffect, ProxyMessage } from '@nutmegcourse/state'
@@ -8,9 +8,9 @@
 
 export type EffectRunner = (effect: ProxyEffect) => void
 
-/** An empty wake slot. */
+/** Due time while no timer is armed. */
 const NOT_SCHEDULED = Number.POSITIVE_INFINITY
-/** Timers of Node fire up to a millisecond early; a tick before its time would be lost work. */
+/** Node.js timers fire up to a millisecond early, and a tick before its due time would have no effect. */
 const TIMER_SLACK_MILLISECONDS = 1
 
 export class CoreDriver {
@@ -33,13 +33,13 @@
     return this.#clock.now()
   }
 
-  /** Messages sent while an effect is carried out wait until the effects before them are done. */
+  /** Queues messages sent during the execution of an effect until the preceding effects are done. */
   send(message: ProxyMessage): void {
     this.#queue.push(message)
     if (!this.#isProcessing) this.#process()
   }
 
-  /** Runs once every effect of the messages at hand is carried out. */
+  /** Runs an action after all effects of the queued messages are executed. */
   afterEffects(action: () => void): void {
     this.#deferredActions.push(action)
     if (!this.#isProcessing) this.#process()
@@ -73,7 +73,7 @@
     for (const action of actions) action()
   }
 
-  /** An earlier timer than needed stays armed: a superfluous tick costs less than a timer a request. */
+  /** Keeps a timer that is due earlier than needed: an extra tick costs less than a timer per request. */
   #armTimer(): void {
     const now = this.#clock.now()
     const wake = this.#core.nextWake(now)
--- a/packages/proxy/src/effectCounters.ts
+++ b/packages/proxy/src/effectCounters.ts
@@ -1,6 +1,6 @@
 /**
- * Counters of the core's effects, summed before they go to the metrics: a request counts two or three,
- * and handing each over by itself costs more than routing the request.
+ * Aggregates the core's counter effects before they go to the metrics: a request increments two or three
+ * counters, and passing on each increment separately costs more than routing the request.
  */
 import type { Metrics } from '@nutmegcourse/observability'
 import type { CounterName } from '@nutmegcourse/shared'
@@ -11,7 +11,7 @@
 
 export class EffectCounters {
   readonly #metrics: Pick<Metrics, 'count'>
-  /** By tags as an object: the core keeps one for each class and meaning. */
+  /** Keyed by tags object identity: the core reuses one object per class and meaning. */
   readonly #sums = new Map<CounterTags, Map<CounterName, number>>()
   readonly #timer: NodeJS.Timeout
 
--- a/packages/proxy/src/errorsPage.ts
+++ b/packages/proxy/src/errorsPage.ts
@@ -1,4 +1,4 @@
-/** docs/ERRORS.md, made from the table of reasons: what callers see, why, and what operators do. */
+/** Generates docs/ERRORS.md from the table of reasons: each error's message, cause and remedy. */
 import { REASONS, allReasons, type Reason, type ReasonKind } from '@nutmegcourse/shared'
 
 interface ErrorNote {
--- a/packages/proxy/src/linkError.ts
+++ b/packages/proxy/src/linkError.ts
@@ -1,12 +1,12 @@
-/** Errors of the proxy's links to its agent and to backend servers' logs, turned from the transport's. */
+/** Errors of the agent link and of position queries, converted from transport errors. */
 import type { TransportError } from '@nutmegcourse/transport'
 
 export type LinkError =
-  /** Nothing was asked: no connection stands. */
+  /** No request was sent, since there is no connection. */
   | { readonly kind: 'notConnected'; readonly detail: string }
-  /** Asked, without an answer. */
+  /** A request was sent, but no answer arrived. */
   | { readonly kind: 'unanswered'; readonly detail: string }
-  /** The other side said no. */
+  /** The other side answered with an error. */
   | { readonly kind: 'declined'; readonly detail: string }
 
 export function toLinkError(error: TransportError): LinkError {
--- a/packages/proxy/src/lostTransaction.ts
+++ b/packages/proxy/src/lostTransaction.ts
@@ -1,7 +1,7 @@
 /**
- * Answers in the server's place once a transaction was lost with its connection. A caller that is told
- * of an error inside a transaction goes on until its ROLLBACK, and must not run half a transaction on
- * another connection meanwhile: it sees an ordinary failed transaction.
+ * Answers requests locally after a transaction was lost with its connection. Callers may send further
+ * statements of a failed transaction until their ROLLBACK. These must not run on another connection, so
+ * the caller gets the answers of an ordinary failed transaction.
  */
 import {
   BIND_COMPLETE,
@@ -35,12 +35,12 @@
   message: 'current transaction is aborted, commands ignored until end of transaction block',
 })
 
-/** `told`: the caller knows already that its transaction is lost. */
+/** `isReported`: the caller has already received an error for the lost transaction. */
 export function replyInLostTransaction(request: CallerRequest, isReported: boolean): LocalReply {
   const text = request.singleStatementText
   const end = text === null ? null : readTransactionEnd(text)
   if (end === 'rollback' || (end === 'commit' && isReported)) return rolledBack(request)
-  // A COMMIT must never look like one: it gets an error, and its transaction is over.
+  // A COMMIT must never appear to succeed: it gets an error, and its transaction ends.
   const status = end === 'commit' ? TransactionStatus.idle : TransactionStatus.failed
   const error = isReported ? FAILED_TRANSACTION : refusalResponse({ reason: 'transaction_lost' })
   return { bytes: Buffer.concat([error, readyForQuery(status)]), status }
--- a/packages/proxy/src/main.ts
+++ b/packages/proxy/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `nutmegcourse-proxy`: the data path of an entry host. Prints one line of JSON when it listens. */
+/** `nutmegcourse-proxy`: the data path of an entry host. Prints one line of JSON once it listens. */
 import { parseArgs } from 'node:util'
 import { formatSettingsError, proxySettingsSchema, readYamlFile } from '@nutmegcourse/settings'
 import { ProxyProcess } from './proxyProcess.js'
@@ -40,7 +40,7 @@
   const stop = (): void => {
     void proxy.stop().then(graceful => process.exit(graceful ? 0 : EXIT_CUT))
   }
-  // Taken each time: a signal without a listener ends the process at once, under what still runs.
+  // Not `once`: a second signal without a listener would terminate the process with requests in flight.
   process.on('SIGTERM', stop)
   process.on('SIGINT', stop)
 }
--- a/packages/proxy/src/requestSteps.ts
+++ b/packages/proxy/src/requestSteps.ts
@@ -1,4 +1,4 @@
-/** One extended-protocol message of a request, with its statement looked up as the caller meant it. */
+/** Extended-protocol messages of a request, with statement names resolved per caller and connection. */
 import {
   CallerMessage,
   FRAME_HEADER_BYTES,
@@ -11,7 +11,7 @@
 import type { CallerStatements, PreparedStatement } from './statementCatalog.js'
 
 export type RequestStep =
-  /** Goes out as it came. */
+  /** Sent unchanged. */
   | { readonly kind: 'asIs'; readonly frame: Buffer }
   | {
       readonly kind: 'parse'
@@ -19,7 +19,7 @@
       readonly statement: PreparedStatement
       readonly frame: Buffer
     }
-  /** Bind or Describe of a statement; null when the caller never prepared it. */
+  /** Bind or Describe of a statement; `statement` is null if the caller has not prepared it. */
   | {
       readonly kind: 'use'
       readonly statement: PreparedStatement | null
@@ -29,18 +29,18 @@
     }
   | { readonly kind: 'closeStatement' }
 
-/** What a ParseComplete of the server is to the caller. */
+/** An expected ParseComplete of the server, which is not forwarded if `hidden`. */
 export interface ParseSlot {
   readonly hidden: boolean
   readonly statement: PreparedStatement
-  /** The caller's name when the caller asked for it; null when the proxy did. */
+  /** The caller's name of the statement; null if the proxy sent the Parse by itself. */
   readonly callerName: string | null
 }
 
-/** What a CloseComplete of the server is to the caller. */
+/** How an expected CloseComplete of the server is passed to the caller. */
 export type CloseSlot = 'forward' | 'discard' | 'asParseComplete'
 
-/** Answers that are still to come on one connection, in the server's order. */
+/** Expected answers on one connection, in the server's order. */
 export interface AnswerSlots {
   readonly parses: ParseSlot[]
   readonly closes: CloseSlot[]
@@ -102,16 +102,16 @@
   return { kind: 'closeStatement' }
 }
 
-/** A portal that never exists: closing it always succeeds and changes nothing. */
+/** Closes a portal that never exists, which always succeeds and changes nothing. */
 const CLOSE_MISSING_PORTAL = closeMessage('portal', 'nutmegcourse_nothing')
-/** No statement of the proxy has such a name, so the server answers 26000 as the caller expects. */
+/** The proxy never uses this name, so the server answers with the expected SQLSTATE 26000. */
 const UNKNOWN_STATEMENT = Buffer.from('unknown statement\0', 'latin1')
 
-/** Rewrites the steps of one request for one connection. Lives as long as the request runs on it. */
+/** Encodes the steps of one request for the connection that it runs on. */
 export class StepEncoder {
   readonly #statements: ConnectionStatements
   readonly #slots: AnswerSlots
-  /** The unnamed statement that the connection has by now, as far as this request knows. */
+  /** The connection's unnamed statement, if this request has prepared it. */
   #unnamed: PreparedStatement | null = null
 
   constructor(statements: ConnectionStatements, slots: AnswerSlots) {
@@ -132,7 +132,7 @@
         this.#encodeUse(step, output)
         return
       case 'closeStatement':
-        // The connection keeps the statement for others: the caller's name for it is gone already.
+        // The connection keeps the statement for other callers; the caller's name is already removed.
         this.#slots.closes.push('forward')
         output.push(CLOSE_MISSING_PORTAL)
         return
@@ -155,7 +155,7 @@
       return
     }
     if (this.#statements.touch(statement.serverName)) {
-      // Its answer has the right place among the others and becomes the ParseComplete.
+      // The CloseComplete arrives in the right position and is converted to a ParseComplete.
       this.#slots.closes.push('asParseComplete')
       output.push(CLOSE_MISSING_PORTAL)
       return
@@ -198,7 +198,7 @@
   }
 }
 
-/** The frame with another statement name, and its length set right. */
+/** Returns the frame with another statement name and the adjusted length. */
 function withStatementName(step: Extract<RequestStep, { kind: 'use' }>, name: Buffer): Buffer {
   const { frame, nameStart, nameEnd } = step
   const renamed = Buffer.allocUnsafe(frame.length - (nameEnd - nameStart) + name.length)
--- a/packages/proxy/src/sessionState.ts
+++ b/packages/proxy/src/sessionState.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps pooled connections and callers' settings apart: what a request left behind on its connection is
- * either remembered as its caller's, to be repeated wherever that caller runs next, or cleaned up.
+ * Isolates callers' session state on pooled connections: a change made by a request is either recorded
+ * for its caller, and applied to the connections that the caller uses next, or discarded.
  */
 import { assertNever, type Refusal } from '@nutmegcourse/shared'
 import type { BackendConnection } from './backendConnection.js'
@@ -15,7 +15,7 @@
   readonly identity: CallerIdentity | null
 }
 
-/** Takes over the settings of the startup packet once they have run; a refusal when they did not. */
+/** Records the settings of the startup packet after they ran; returns a refusal if they failed. */
 export function recordStartupSettings(
   caller: SettingsOwner,
   connection: BackendConnection,
@@ -32,7 +32,7 @@
   return isWithinLimit ? null : { reason: 'unsupported', detail: 'too many settings at startup' }
 }
 
-/** False when the caller has made more settings than are remembered. */
+/** Returns false if the caller has more settings than the limit. */
 export function recordSessionChanges(
   caller: SettingsOwner,
   connection: BackendConnection,
@@ -59,7 +59,7 @@
     case 'RESET': {
       const text = outcome.commands === 1 ? request.singleStatementText : null
       if (text !== null && isLocalSetting(text)) return true
-      // Inside a transaction it may yet be rolled back, and in a script its text is not known.
+      // Inside a transaction it may be rolled back, and among several commands its text is unknown.
       if (text === null || insideTransaction) {
         connection.setup.markDirty()
         return true
--- a/packages/proxy/src/statementCatalog.ts
+++ b/packages/proxy/src/statementCatalog.ts
@@ -1,13 +1,13 @@
 /**
- * Named prepared statements over pooled connections. Callers name statements as they like; the proxy
- * prepares each text once a connection, under a name of its own that no other text ever has.
+ * Named prepared statements over pooled connections. The proxy prepares each distinct text once per
+ * connection, under a generated name that is never reused for another text.
  */
 import { readStatementComment, type StatementComment } from '@nutmegcourse/protocol'
 
 export interface PreparedStatement {
-  /** The name on backend servers; empty for a caller's unnamed statement. */
+  /** The generated name on backend servers; empty for a caller's unnamed statement. */
   readonly serverName: string
-  /** What follows the name in Parse: the text, and the parameter types. */
+  /** The part of Parse after the name: the text and the parameter types. */
   readonly body: Buffer
   readonly comment: StatementComment
 }
@@ -20,7 +20,7 @@
 const UNNAMED = ''
 const SERVER_NAME_PREFIX = 'nutmegcourse_'
 
-/** One for all callers of a proxy, so that equal texts are prepared and kept once. */
+/** Shared by all callers of a proxy, so that equal texts are stored and prepared once. */
 export class StatementCatalog {
   readonly #entries = new Map<string, CatalogEntry>()
   #lastNumber = 0
@@ -42,7 +42,7 @@
     return statement
   }
 
-  /** A text that no caller holds is forgotten; its name is never given to another. */
+  /** Removes a text without remaining references. Its name is never reused. */
   release(statement: PreparedStatement): void {
     const key = statement.body.toString('latin1')
     const entry = this.#entries.get(key)
@@ -52,7 +52,7 @@
   }
 }
 
-/** Copies the body, so that a small text does not keep a whole socket chunk alive. */
+/** Copies the body, so that a small text does not keep a whole socket chunk in memory. */
 export function describeStatement(serverName: string, body: Buffer): PreparedStatement {
   const textEnd = body.indexOf(0)
   return {
@@ -62,7 +62,7 @@
   }
 }
 
-/** The statements of one caller, under the caller's names. */
+/** The prepared statements of one caller by the caller's names. */
 export class CallerStatements {
   readonly #catalog: StatementCatalog
   #named: Map<string, PreparedStatement> | null = null
@@ -99,7 +99,7 @@
     this.#catalog.release(statement)
   }
 
-  /** Undoes a definition that the backend server refused, unless a later one took the name. */
+  /** Removes a definition that the backend server refused, unless the name was redefined since. */
   forgetDefinition(name: string, statement: PreparedStatement): void {
     if (this.find(name) === statement) this.forget(name)
   }
--- a/packages/proxy/src/topology.ts
+++ b/packages/proxy/src/topology.ts
@@ -1,4 +1,4 @@
-/** The agent's last snapshot, arranged for the look-ups of each request. */
+/** The agent's last snapshot, indexed for the look-ups of each request. */
 import type { ListedBackendServer, RoutingSnapshot, Targets } from '@nutmegcourse/protocol'
 import type { BackendServerId, ClassName, DatabaseId } from '@nutmegcourse/shared'
 
@@ -19,7 +19,7 @@
     this.#classes = new Set(snapshot.targets?.targets.classes.map(entry => entry.name))
   }
 
-  /** Null until the agent has told anything. */
+  /** Null until the agent has sent a snapshot. */
   get snapshot(): RoutingSnapshot | null {
     return this.#snapshot
   }
@@ -29,7 +29,7 @@
     return this.#snapshot?.targets?.targets ?? null
   }
 
-  /** Whether targets are known, and for each database its backend servers. */
+  /** Whether the targets, at least one database and every database's backend servers are known. */
   get isComplete(): boolean {
     const groups = this.#snapshot?.groups ?? []
     const listed = groups.every(group => group.backendServers.length > 0)
--- a/packages/proxy/src/transactionCommands.ts
+++ b/packages/proxy/src/transactionCommands.ts
@@ -1,6 +1,6 @@
 /**
- * The words that end a transaction. Read only where the proxy must answer in the server's place, after
- * the transaction was lost with its connection; never to decide where a statement goes.
+ * Recognizes commands that end a transaction or are local to it. Transaction ends are read only to answer
+ * locally after a transaction was lost with its connection, never to route a statement.
  */
 
 export type TransactionEnd = 'commit' | 'rollback'
@@ -17,6 +17,6 @@
 
 const LOCAL_SETTING = /^set\s+(?:local|transaction|constraints)\b/i
 
-/** Whether a statement that the server answered with the tag SET ends with its transaction. */
+/** Whether the effect of a statement with the command tag SET is limited to its transaction. */
 export const isLocalSetting = (text: string): boolean =>
   LOCAL_SETTING.test(text.replace(LEADING_COMMENTS, ''))
