--- a/packages/proxy/__tests__/backPressure.spec.ts
+++ b/packages/proxy/__tests__/backPressure.spec.ts
@@ -1,4 +1,4 @@
-/** Callers that do not read: bounded memory, and nobody else waits for them. */
+/** Back pressure: callers that do not read use bounded memory and do not delay other callers. */
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import { withProxy } from './support/proxyFixture.js'
@@ -8,10 +8,10 @@
 const ROWS = 20_000
 const ROW_BYTES = 4000
 
-describe('a caller that does not read its rows', () => {
-  // A gallery client asks for eighty megabytes and goes for tea. Were they read ahead for it, a few
-  // such clients would take the memory of the entry host, and all its callers with it.
-  it('holds back its backend server, not its neighbours, and gets every row in the end', () =>
+describe('a caller under back pressure', () => {
+  // A client requests 80 MB and stops reading. If the proxy buffered the whole answer, a few such
+  // clients would exhaust the memory of the entry host and disconnect all its callers.
+  it('that does not read pauses its backend connection, delays nobody else, and gets every row in the end', () =>
     withProxy(2, async fixture => {
       const slow = await RawCaller.connect(fixture.port)
       const other = await fixture.connect()
@@ -28,7 +28,7 @@
       slow.disconnect()
     }))
 
-  it('and sends without end is not read without end', () =>
+  it('that pipelines 2000 queries gets every answer in order', () =>
     withProxy(1, async fixture => {
       const caller = await RawCaller.connect(fixture.port)
       const queries = Array.from({ length: 2000 }, (_, index) => query(`SELECT ${index}`))
--- a/packages/proxy/__tests__/brokenAnswers.spec.ts
+++ b/packages/proxy/__tests__/brokenAnswers.spec.ts
@@ -1,4 +1,4 @@
-/** What callers see when connections break, answers are held, or callers leave. */
+/** What callers receive when connections break, answers are held, or callers disconnect. */
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import type { Refusal } from '@nutmegcourse/shared'
@@ -6,44 +6,44 @@
 import { ProxyFixture, WRITE_CLASS, withProxy } from './support/proxyFixture.js'
 import { RawCaller, waitUntil, query } from './support/rawCaller.js'
 
-const kindsOf = (fixture: ProxyFixture): readonly ProxyMessage['kind'][] =>
+const messageKinds = (fixture: ProxyFixture): readonly ProxyMessage['kind'][] =>
   fixture.core.messages.map(message => message.kind)
 
-/** Lets the core say something that its rules would not make it say here. */
-function inject(fixture: ProxyFixture, ...effects: readonly ProxyEffect[]): void {
+/** Makes the core return effects that its own rules would not produce at this point. */
+function injectEffects(fixture: ProxyFixture, ...effects: readonly ProxyEffect[]): void {
   fixture.core.inject(effects)
   fixture.shell.tick()
 }
 
 describe('a held answer', () => {
-  // A judge records a score. The primary answers, but no replica holds the score yet. If the answer left
-  // now and the primary died, the score would be lost although the judge was told that it is recorded.
-  it('stays with the proxy until the core acknowledges', () =>
+  // The primary has answered a write that no replica holds yet. If the answer was sent now and the
+  // primary failed, an acknowledged write would be lost.
+  it('is not sent before the core acknowledges the request', () =>
     withProxy(1, async fixture => {
-      fixture.coreOptions.acknowledgesAtOnce = false
+      fixture.coreOptions.acknowledgesImmediately = false
       const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       caller.send(query('INSERT a'))
-      await waitUntil(() => kindsOf(fixture).includes('requestRan'))
+      await waitUntil(() => messageKinds(fixture).includes('requestRan'))
       await new Promise(resolve => setTimeout(resolve, 30))
       expect(caller.types).toEqual('')
       const request = fixture.lastRequest()
       if (request === undefined) throw new Error('no request')
-      inject(fixture, { kind: 'acknowledge', request })
+      injectEffects(fixture, { kind: 'acknowledge', request })
       await caller.untilReady()
       expect(caller.types).toEqual('CZ')
       caller.disconnect()
     }))
 
-  it('is replaced by the refusal, with reason, SQLSTATE and when to come back', () =>
+  it('is replaced by a refusal with its reason, SQLSTATE and retry delay', () =>
     withProxy(1, async fixture => {
-      fixture.coreOptions.acknowledgesAtOnce = false
+      fixture.coreOptions.acknowledgesImmediately = false
       const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       caller.send(query('INSERT a'))
-      await waitUntil(() => kindsOf(fixture).includes('requestRan'))
+      await waitUntil(() => messageKinds(fixture).includes('requestRan'))
       const refusal: Refusal = { reason: 'confirmation_timeout', retryAfterMilliseconds: 7 }
       const request = fixture.lastRequest()
       if (request === undefined) throw new Error('no request')
-      inject(fixture, { kind: 'refuse', request, refusal })
+      injectEffects(fixture, { kind: 'refuse', request, refusal })
       await caller.untilReady()
       expect(caller.types).toEqual('EZ')
       for (const part of ['C40003\0', 'Mconfirmation_timeout: ', 'Hretry-after-milliseconds=7\0']) {
@@ -52,7 +52,7 @@
       caller.disconnect()
     }))
 
-  it('carries the position that the primary had behind the write', () =>
+  it("reports the primary's log position after the write to the core", () =>
     withProxy(1, async fixture => {
       const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       caller.send(query('INSERT a'))
@@ -62,7 +62,7 @@
       caller.disconnect()
     }))
 
-  it('has no position when the server stopped leading meanwhile', () =>
+  it('reports no position if the server is no longer primary after the write', () =>
     withProxy(1, async fixture => {
       fixture.backend.role = 'replica'
       const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
@@ -76,21 +76,21 @@
 
 describe('a backend server that breaks', () => {
   const cases = [
-    { what: 'in the middle of a row', sql: 'break_now', partlyAnswered: true, ends: 'closed' },
-    { what: 'before its answer', sql: 'break_silently', partlyAnswered: false, ends: 'EZ' },
+    { what: 'in the middle of a row', sql: 'break_now', partlyAnswered: true, outcome: 'closed' },
+    { what: 'before its answer', sql: 'break_silently', partlyAnswered: false, outcome: 'EZ' },
   ]
-  for (const { what, sql, partlyAnswered, ends } of cases) {
-    // A foreman's statement runs when its backend server dies. What arrived of the answer must not be
-    // completed by anything else: the caller gets an error, or no more bytes where a row is cut.
-    it(`${what}: an error or the end for this caller, and the next is served`, () =>
+  for (const { what, sql, partlyAnswered, outcome } of cases) {
+    // A backend server fails while a statement runs. A partial answer must not be completed by other
+    // bytes: the caller gets an error, or its connection is closed if a row is incomplete.
+    it(`${what} causes an error or a closed connection for this caller only`, () =>
       withProxy(1, async fixture => {
         const caller = await RawCaller.connect(fixture.port)
         caller.send(query(sql))
         await caller.until(() => caller.closed || caller.types.includes('Z'))
-        expect(caller.closed ? 'closed' : caller.types).toEqual(ends)
+        expect(caller.closed ? 'closed' : caller.types).toEqual(outcome)
         const broken = fixture.core.messages.find(message => message.kind === 'requestBroken')
         expect(broken?.partlyAnswered).toEqual(partlyAnswered)
-        const kinds = kindsOf(fixture)
+        const kinds = messageKinds(fixture)
         expect(kinds.indexOf('connectionClosed') < kinds.indexOf('requestBroken')).toEqual(true)
         const next = await RawCaller.connect(fixture.port)
         next.send(query('SELECT 1'))
@@ -102,15 +102,15 @@
 })
 
 describe('a transaction', () => {
-  // A foreman's client dies between BEGIN and COMMIT. Its half transaction is open on a pooled connection.
-  // If that went back to the pool, the next foreman's statement would land inside it.
-  it('is rolled back with its connection when its caller leaves', () =>
+  // A client fails between BEGIN and COMMIT and leaves its transaction open on a pooled connection. If
+  // the connection was reused, the next caller's statement would run inside that transaction.
+  it('is rolled back by closing its connection when its caller disconnects', () =>
     withProxy(1, async fixture => {
       const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       caller.send(query('BEGIN'))
       await caller.untilReady()
       caller.disconnect()
-      await waitUntil(() => kindsOf(fixture).includes('connectionClosed'))
+      await waitUntil(() => messageKinds(fixture).includes('connectionClosed'))
       const next = await RawCaller.connect(fixture.port, WRITE_CLASS)
       next.send(query('SELECT 1'))
       await next.untilReady()
@@ -118,9 +118,9 @@
       next.disconnect()
     }))
 
-  // The backend server dies between two statements of a transaction. Its client does not know, and sends
-  // the next statement. If that ran elsewhere by itself, half of the transaction would last.
-  it('that was lost answers as a failed one until it is rolled back', () =>
+  // The backend server fails between two statements of a transaction, and the client sends the next one.
+  // If that ran on another connection, part of the transaction would be committed.
+  it('that was lost answers as a failed transaction until it is rolled back', () =>
     withProxy(1, async fixture => {
       const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       const steps: readonly (readonly [string, string, string])[] = [
@@ -141,13 +141,13 @@
       caller.disconnect()
     }))
 
-  it('that was lost never answers its COMMIT as a success', () =>
+  it('that was lost answers its COMMIT with an error', () =>
     withProxy(1, async fixture => {
       const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       caller.send(query('BEGIN'), query('INSERT a'))
       await caller.untilReady(2)
       fixture.backend.dropSessions()
-      await waitUntil(() => kindsOf(fixture).includes('connectionClosed'))
+      await waitUntil(() => messageKinds(fixture).includes('connectionClosed'))
       caller.frames.length = 0
       caller.send(query('COMMIT'))
       await caller.untilReady()
@@ -156,14 +156,16 @@
       caller.disconnect()
     }))
 
-  it('holds the answer of its end, and of nothing before', () =>
+  it('holds only the answer to its COMMIT', () =>
     withProxy(1, async fixture => {
-      fixture.coreOptions.acknowledgesAtOnce = false
+      fixture.coreOptions.acknowledgesImmediately = false
       const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       caller.send(query('BEGIN'), query('INSERT a'))
       await caller.untilReady(2)
       caller.send(query('COMMIT'))
-      await waitUntil(() => kindsOf(fixture).filter(kind => kind === 'requestRan').length === 3)
+      await waitUntil(
+        () => messageKinds(fixture).filter(kind => kind === 'requestRan').length === 3,
+      )
       await new Promise(resolve => setTimeout(resolve, 30))
       expect(caller.types).toEqual('CZCZ')
       caller.disconnect()
--- a/packages/proxy/__tests__/callerIsolation.spec.ts
+++ b/packages/proxy/__tests__/callerIsolation.spec.ts
@@ -1,4 +1,4 @@
-/** Many callers over few connections: each gets its own answers whole, and nothing of another's. */
+/** Many callers share few backend connections: each gets exactly its own answers. */
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import { SeededRandom } from '@nutmegcourse/shared'
@@ -12,9 +12,9 @@
   result.rows.map(row => (row as { readonly value: unknown }).value)
 
 describe('many callers over few connections', () => {
-  // Forty foremen ask at once, some with prepared statements, some inside transactions, some for many rows,
-  // while others leave in the middle. A single answer that reaches the wrong one is a wrong assignment.
-  it('never get an answer of one another', () =>
+  // 40 callers send requests concurrently, with prepared statements, transactions and large results,
+  // while others disconnect during their requests. No answer may reach another caller.
+  it('never receive an answer for another caller', () =>
     withProxy(4, async fixture => {
       const random = new SeededRandom(20)
       const work = Array.from({ length: CALLERS }, async (_, index) => {
@@ -41,19 +41,19 @@
           }
         }
       })
-      const leavers = Array.from({ length: 10 }, async (_, index) => {
+      const disconnects = Array.from({ length: 10 }, async (_, index) => {
         const caller = await RawCaller.connect(fixture.port)
         caller.send(query('BEGIN'), query(`SELECT leaver ${index}`), query('SELECT rows(500, 500)'))
         await new Promise(resolve => setTimeout(resolve, index))
         caller.disconnect()
       })
-      await Promise.all([...work, ...leavers])
+      await Promise.all([...work, ...disconnects])
       expect(fixture.backend.connections <= 4).toEqual(true)
     }))
 })
 
 describe('a cancel request', () => {
-  it('ends the statement that runs, and nothing else', () =>
+  it('cancels only the running statement', () =>
     withProxy(1, async fixture => {
       const client = await fixture.connect()
       const sleeping = client.query('SELECT pg_sleep(5000)')
@@ -64,7 +64,7 @@
       expect(valuesOf(await client.query('SELECT 1'))).toEqual(['SELECT 1'])
     }))
 
-  it('with the wrong secret does nothing', () =>
+  it('with the wrong secret is ignored', () =>
     withProxy(1, async fixture => {
       const client = await fixture.connect()
       const sleeping = client.query('SELECT pg_sleep(100)')
@@ -73,7 +73,7 @@
       expect((await sleeping).rows.length).toEqual(1)
     }))
 
-  it('of a request that still waits for a connection answers it at once', () =>
+  it('for a request that waits for a connection cancels it immediately', () =>
     withProxy(1, async fixture => {
       const [first, second] = [await fixture.connect(), await fixture.connect()]
       const running = first.query('SELECT pg_sleep(100)')
@@ -88,9 +88,9 @@
       expect((await running).rows.length).toEqual(1)
     }))
 
-  // A supervisor cancels a statement that ends by itself at that very moment. The backend server takes the
-  // cancel late, when the connection serves the next supervisor already, and cancels that one's statement.
-  it('that comes late never hits the next caller', () =>
+  // A statement ends by itself while its cancel request is on the way. The backend server processes the
+  // cancel when the connection may already serve another caller, and would cancel that caller's statement.
+  it('that arrives late never cancels a statement of the next caller', () =>
     withProxy(1, async fixture => {
       fixture.backend.cancelDelayMilliseconds = 60
       const [first, second] = [await fixture.connect(), await fixture.connect()]
--- a/packages/proxy/__tests__/errorsPage.spec.ts
+++ b/packages/proxy/__tests__/errorsPage.spec.ts
@@ -4,7 +4,7 @@
 import { describeErrors } from '../src/index.js'
 
 describe('docs/ERRORS.md', () => {
-  it('is what the table of reasons says', () => {
+  it('equals the page generated from the table of reasons', () => {
     const page = new URL('../../../../docs/ERRORS.md', import.meta.url)
     expect(readFileSync(page, 'utf8')).toEqual(describeErrors())
   })
--- a/packages/proxy/__tests__/gracefulShutdown.spec.ts
+++ b/packages/proxy/__tests__/gracefulShutdown.spec.ts
@@ -1,4 +1,4 @@
-/** The shipped binary: it starts, follows its agent, and stops without cutting anything in flight. */
+/** The proxy binary: startup, snapshots from its agent, and graceful shutdown with requests in flight. */
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import { WRITE_CLASS } from './support/proxyFixture.js'
@@ -8,7 +8,7 @@
 const DRAIN_TIMEOUT_MILLISECONDS = 5000
 
 describe('the proxy as a process', () => {
-  it('serves reads and writes by the snapshot of its agent', () =>
+  it('serves reads and writes according to the snapshot of its agent', () =>
     withProxyProcess(DRAIN_TIMEOUT_MILLISECONDS, async proxy => {
       for (const name of ['lookup', WRITE_CLASS]) {
         const client = await proxy.connect(name)
@@ -17,7 +17,7 @@
       }
     }))
 
-  it('goes on without its agent, and answers the agent once it is back', () =>
+  it('keeps serving without its agent, and answers the agent after reconnecting', () =>
     withProxyProcess(DRAIN_TIMEOUT_MILLISECONDS, async proxy => {
       const client = await proxy.connect()
       await client.query('SELECT 1')
@@ -35,9 +35,9 @@
       await client.end()
     }))
 
-  // An entry host is replaced at noon. A foreman's statement runs, another is between BEGIN and COMMIT, a
-  // third is idle. Whoever has something in flight must get its whole answer; the idle one is told to go.
-  it('finishes what runs, lets transactions end, and tells idle callers', () =>
+  // An entry host shuts down while one caller runs a statement, another is between BEGIN and COMMIT, and
+  // a third is idle. Work in flight must be completed; only the idle caller is disconnected at once.
+  it('finishes running statements and open transactions, and closes idle connections with 57P01', () =>
     withProxyProcess(DRAIN_TIMEOUT_MILLISECONDS, async proxy => {
       const running = await proxy.connect()
       const inTransaction = await proxy.connect(WRITE_CLASS)
@@ -55,9 +55,9 @@
       expect(proxy.backend.inserted.length).toEqual(1)
     }))
 
-  // The operators' tool asks twice for the stop, the second time while a statement runs. The second
-  // signal found no listener any more and ended the process under the statement: exit code null.
-  it('does not end sooner when it is told twice to stop', () =>
+  // A tool sends SIGTERM twice, the second time while a statement runs. Without a listener the second
+  // signal would terminate the process during the statement, with exit code null.
+  it('finishes running statements even if it receives SIGTERM twice', () =>
     withProxyProcess(DRAIN_TIMEOUT_MILLISECONDS, async proxy => {
       const client = await proxy.connect()
       const slow = client.query('SELECT pg_sleep(600)')
@@ -69,20 +69,20 @@
       expect([await first, await second]).toEqual([0, 0])
     }))
 
-  // Judges enter scores without pause while their entry host is replaced. Each score is answered, or refused
-  // as not run; one that was refused and is there all the same would be entered a second time.
-  it('under load answers each write or refuses it as not run, truly', () =>
+  // Callers write continuously while their entry host shuts down. A write that is refused as not run but
+  // was applied would be applied a second time by the caller's retry.
+  it('under load acknowledges each write that was applied, and refuses every other as not run', () =>
     withProxyProcess(DRAIN_TIMEOUT_MILLISECONDS, async proxy => {
       const acknowledged = new Set<string>()
       const refused = new Map<string, string>()
-      const judges = Array.from({ length: 20 }, async (_, judge) => {
+      const writers = Array.from({ length: 20 }, async (_, writer) => {
         const client = await proxy.connect(WRITE_CLASS)
-        const connection = { told: false }
+        const connection = { failed: false }
         client.on('error', () => {
-          connection.told = true
+          connection.failed = true
         })
-        for (let score = 0; !connection.told; score += 1) {
-          const id = `${judge}/${score}`
+        for (let sequence = 0; !connection.failed; sequence += 1) {
+          const id = `${writer}/${sequence}`
           try {
             await client.query('INSERT $1', [id])
             acknowledged.add(id)
@@ -94,13 +94,13 @@
       })
       await waitUntil(() => proxy.backend.inserted.length > 200)
       expect(await proxy.terminate()).toEqual(0)
-      await Promise.all(judges)
+      await Promise.all(writers)
       expect([...refused.values()].filter(code => code !== '57P01')).toEqual([])
       expect(new Set(proxy.backend.inserted)).toEqual(acknowledged)
       expect(proxy.backend.inserted.length).toEqual(acknowledged.size)
     }))
 
-  it('cuts what does not end within the drain timeout, and says so by its exit code', () =>
+  it('closes what is open after the drain timeout, and exits with code 1', () =>
     withProxyProcess(200, async proxy => {
       const caller = await RawCaller.connect(proxy.port, WRITE_CLASS)
       caller.send(query('BEGIN'))
--- a/packages/proxy/__tests__/hostileInput.spec.ts
+++ b/packages/proxy/__tests__/hostileInput.spec.ts
@@ -1,4 +1,4 @@
-/** Malformed, oversized and truncated input: an error to that caller alone, and the process lives. */
+/** Malformed, oversized and truncated input causes an error for that caller only. */
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import fc from 'fast-check'
@@ -9,14 +9,14 @@
 const SEED = 77
 const RUNS = 60
 
-const word = (value: number): Buffer => {
+const int32 = (value: number): Buffer => {
   const bytes = Buffer.alloc(4)
   bytes.writeInt32BE(value, 0)
   return bytes
 }
 
-describe('input that no client sends', () => {
-  const mistakes = [
+describe('invalid input', () => {
+  const invalidMessages = [
     {
       what: 'a frame shorter than its length field',
       bytes: Buffer.from('Q\0\0\0\x03'),
@@ -29,27 +29,31 @@
     },
     {
       what: 'a frame beyond the limit',
-      bytes: Buffer.concat([Buffer.from('Q'), word(2 ** 30)]),
+      bytes: Buffer.concat([Buffer.from('Q'), int32(2 ** 30)]),
       code: '54000',
     },
     { what: 'an unknown message', bytes: frameOf('!', 'x'), code: '08P01' },
-    { what: 'a query without an end', bytes: frameOf('Q', 'SELECT 1'), code: '08P01' },
-    { what: 'a statement without an end', bytes: frameOf('P', 'name'), code: '08P01' },
+    { what: 'a query without a terminating zero', bytes: frameOf('Q', 'SELECT 1'), code: '08P01' },
+    {
+      what: 'a Parse message without a terminating zero',
+      bytes: frameOf('P', 'name'),
+      code: '08P01',
+    },
     {
       what: 'a query between extended messages',
       bytes: Buffer.concat([parse('', 'x'), query('y')]),
       code: '08P01',
     },
     { what: 'a function call', bytes: frameOf('F', '\0\0\0\0'), code: '0A000' },
-    { what: 'a password nobody asked for', bytes: frameOf('p', 'secret\0'), code: '08P01' },
+    { what: 'an unexpected password message', bytes: frameOf('p', 'secret\0'), code: '08P01' },
     {
-      what: 'extended messages without end',
+      what: 'a batch of extended messages beyond the limit',
       bytes: Buffer.concat(Array.from({ length: 3 }, () => parse('', 'x'.repeat(500_000)))),
       code: '54000',
     },
   ]
-  for (const { what, bytes, code } of mistakes) {
-    it(`${what} ends that caller's connection with ${code}`, () =>
+  for (const { what, bytes, code } of invalidMessages) {
+    it(`${what} closes that caller's connection with ${code}`, () =>
       withProxy(1, async fixture => {
         const other = await fixture.connect()
         const caller = await RawCaller.connect(fixture.port)
@@ -61,22 +65,26 @@
       }))
   }
 
-  const startups = [
-    { what: 'an old protocol', bytes: Buffer.concat([word(8), word(2 << 16)]), code: '0A000' },
+  const invalidStartups = [
+    {
+      what: 'an old protocol version',
+      bytes: Buffer.concat([int32(8), int32(2 << 16)]),
+      code: '0A000',
+    },
     {
-      what: 'a startup packet of no sense',
-      bytes: Buffer.concat([word(12), word(3 << 16), word(-1)]),
+      what: 'a malformed startup packet',
+      bytes: Buffer.concat([int32(12), int32(3 << 16), int32(-1)]),
       code: '08P01',
     },
-    { what: 'an endless startup packet', bytes: word(1 << 20), code: '54000' },
-    { what: 'no user', bytes: startupMessage({ database: DATABASE }), code: '08P01' },
+    { what: 'a startup packet beyond the limit', bytes: int32(1 << 20), code: '54000' },
+    { what: 'a missing user', bytes: startupMessage({ database: DATABASE }), code: '08P01' },
     {
       what: 'a replication connection',
       bytes: startupMessage({ user: 'u', replication: 'true' }),
       code: '0A000',
     },
   ]
-  for (const { what, bytes, code } of startups) {
+  for (const { what, bytes, code } of invalidStartups) {
     it(`${what} at startup is refused with ${code}`, () =>
       withProxy(1, async fixture => {
         const caller = new RawCaller(fixture.port)
@@ -86,7 +94,7 @@
       }))
   }
 
-  it('at random, cut anywhere, never reaches another caller', () =>
+  it('generated at random and truncated anywhere never affects another caller', () =>
     withProxy(3, async fixture => {
       const other = await fixture.connect()
       const frames = fc.oneof(
--- a/packages/proxy/__tests__/pipelining.spec.ts
+++ b/packages/proxy/__tests__/pipelining.spec.ts
@@ -1,4 +1,4 @@
-/** Answers come whole and in order, however messages are cut, batched or interleaved. */
+/** Answers are complete and in order, however messages are split, batched or interleaved. */
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import { WRITE_CLASS, withProxy } from './support/proxyFixture.js'
@@ -31,7 +31,7 @@
       types: '12DC2DCZ',
     },
     {
-      what: 'a batch that fails in its middle',
+      what: 'a batch with an error in the middle',
       send: [parse('', 'FAIL'), bind(''), execute(), bind(''), execute(), sync(), query('a')],
       ready: 2,
       types: '12EZTDCZ',
@@ -44,7 +44,7 @@
     },
     { what: 'a lone Sync', send: [sync(), query('a')], ready: 2, types: 'ZTDCZ' },
     {
-      what: 'a statement nobody prepared',
+      what: 'a statement that was not prepared',
       send: [bind('s'), execute(), sync()],
       ready: 1,
       types: 'EZ',
@@ -52,13 +52,13 @@
   ]
   for (const { what, send, ready, types } of batches) {
     for (const className of ['lookup', WRITE_CLASS]) {
-      it(`${what}, class ${className}, twice on one pooled connection`, () =>
+      it(`answer ${what} correctly twice on one pooled connection, class ${className}`, () =>
         withProxy(1, async fixture => {
           const caller = await RawCaller.connect(fixture.port, className)
           caller.send(...send)
           await caller.untilReady(ready)
           expect(caller.types).toEqual(types)
-          // The second time the connection knows the statements already.
+          // The second time the statements are already prepared on the connection.
           caller.frames.length = 0
           caller.send(...send)
           await caller.untilReady(ready)
@@ -68,7 +68,7 @@
     }
   }
 
-  it('answers each Flush before the caller sends more', () =>
+  it('are answered at each Flush, before the caller sends more', () =>
     withProxy(1, async fixture => {
       const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       caller.send(parse('s', 'SELECT x'), describeStatement('s'), flush())
@@ -81,7 +81,7 @@
       caller.disconnect()
     }))
 
-  it('finds a statement again that an earlier request prepared without a name', () =>
+  it('find the unnamed statement that an earlier request prepared', () =>
     withProxy(2, async fixture => {
       const caller = await RawCaller.connect(fixture.port)
       caller.send(parse('', 'SELECT x'), sync())
@@ -92,7 +92,7 @@
       caller.disconnect()
     }))
 
-  it('takes messages that arrive byte by byte', () =>
+  it('are answered if they arrive byte by byte', () =>
     withProxy(1, async fixture => {
       const caller = await RawCaller.connect(fixture.port)
       for (const byte of Buffer.concat([parse('s', 'SELECT x'), bind('s'), execute(), sync()])) {
--- a/packages/proxy/__tests__/queries.spec.ts
+++ b/packages/proxy/__tests__/queries.spec.ts
@@ -1,4 +1,4 @@
-/** What unmodified clients send, through pooled connections. */
+/** Queries of unmodified PostgreSQL clients over pooled connections. */
 import { expect } from 'earl'
 import { describe, it } from 'node:test'
 import { startupMessage } from '@nutmegcourse/protocol'
@@ -35,7 +35,7 @@
       }))
   }
 
-  it('gets values through the extended protocol, named or not', () =>
+  it('gets values through the extended protocol, with named and unnamed statements', () =>
     withProxy(2, async fixture => {
       const client = await fixture.connect()
       expect(valueOf(await client.query('SELECT $1', ['a']))).toEqual('a')
@@ -45,7 +45,7 @@
       }
     }))
 
-  it('finds its prepared statement on whichever connection it gets', () =>
+  it('finds its prepared statement on every connection that it uses', () =>
     withProxy(3, async fixture => {
       const clients = await Promise.all([1, 2, 3, 4, 5, 6].map(() => fixture.connect()))
       for (let round = 0; round < 5; round += 1) {
@@ -60,11 +60,11 @@
         )
         expect(answers.map(valueOf)).toEqual(clients.map((_, index) => `${index}/${round}`))
       }
-      // One text, three connections: never prepared once a caller.
+      // One text on three connections: prepared once per connection, not once per caller.
       expect(fixture.backend.parses <= 3).toEqual(true)
     }))
 
-  it('keeps two callers apart that give one name to different texts', () =>
+  it('may use the same statement name as another caller for a different text', () =>
     withProxy(1, async fixture => {
       const [first, second] = [await fixture.connect(), await fixture.connect()]
       for (let round = 0; round < 3; round += 1) {
@@ -74,7 +74,7 @@
       }
     }))
 
-  it('has its settings wherever it runs, and nobody else has them', () =>
+  it('keeps its settings on every connection, and does not affect other callers', () =>
     withProxy(1, async fixture => {
       const [first, second] = [await fixture.connect(), await fixture.connect()]
       await first.query("SET search_path TO 'quay'")
@@ -82,7 +82,7 @@
       expect(valueOf(await first.query('SHOW search_path'))).toEqual('quay')
     }))
 
-  it('gets an error for what pooled connections can not carry, and goes on', () =>
+  it('gets an error for statements that pooled connections do not support, and can continue', () =>
     withProxy(1, async fixture => {
       const client = await fixture.connect()
       for (const sql of ['COPY t FROM STDIN', 'LISTEN news']) {
@@ -91,7 +91,7 @@
       }
     }))
 
-  it('is refused by name when its class or database is unknown', () =>
+  it('is refused with unknown_class or unknown_database if its class or database is unknown', () =>
     withProxy(1, async fixture => {
       const client = await fixture.connect('nobody')
       await expect(client.query('SELECT 1')).toBeRejectedWith(/unknown_class/)
@@ -100,7 +100,7 @@
       )
     }))
 
-  it('gets the class of the first default that fits', () =>
+  it('gets the class of the first matching default', () =>
     withProxy(1, async fixture => {
       const client = await fixture.connect('', { options: '', user: 'judge' })
       await client.query('SELECT 1')
@@ -108,7 +108,7 @@
       expect(arrived?.class as string | undefined).toEqual(WRITE_CLASS)
     }))
 
-  it('beyond the limit of callers is told so, and the others go on', () =>
+  it('beyond the caller limit is refused, and the other callers are still served', () =>
     withProxy(1, async fixture => {
       const client = await fixture.connect()
       const more = Array.from({ length: CALLER_LIMIT }, () => new RawCaller(fixture.port))
--- a/packages/proxy/__tests__/support/fakeBackend.ts
+++ b/packages/proxy/__tests__/support/fakeBackend.ts
@@ -1,4 +1,4 @@
-/** A backend server of a few statements, strict about prepared statements, with switches for faults. */
+/** A fake backend server with a few statements, strict checks of prepared statements and fault injection. */
 import type { Server, Socket } from 'node:net'
 import {
   AUTHENTICATION_OK,
@@ -59,7 +59,7 @@
 const dataRow = (values: readonly string[]): Buffer =>
   frame('D', withCount(values.length, values.map(textField)))
 
-/** Statements that have no columns, and that must not run when they are only described. */
+/** Statements without result columns, which must not run when they are only described. */
 const STATEMENTS_WITHOUT_COLUMNS = /^(?:INSERT|BEGIN|COMMIT|ROLLBACK|DISCARD|SET|LISTEN)\b/
 
 interface Reply {
@@ -240,7 +240,7 @@
     if (this.#execute(sql, [], true)) this.#socket.write(readyForQuery(this.status))
   }
 
-  /** False when the session went on otherwise than by an ordinary answer. */
+  /** Returns false if the statement did not end with an ordinary answer. */
   #execute(sql: string, values: readonly string[], describes: boolean): boolean {
     if (sql.includes('break_now')) {
       this.#socket.write(rowDescription(['value']))
@@ -340,7 +340,7 @@
   #port = 0
   #lastId = 0
 
-  /** Its own word on its log; a follower holds at once what the followed one has. */
+  /** The reported role and log position. A follower has the position of its primary without delay. */
   get position(): { readonly role: string; readonly offset: number } {
     if (this.follows === null) return { role: this.role, offset: this.offset }
     return { role: 'replica', offset: this.follows.offset }
@@ -368,7 +368,7 @@
     this.#sessions.get(processId)?.cancel()
   }
 
-  /** Every connection breaks; new ones are taken. */
+  /** Breaks all connections. New ones are accepted. */
   dropSessions(): void {
     for (const session of this.#sessions.values()) session.end()
   }
--- a/packages/proxy/__tests__/support/proxyFixture.ts
+++ b/packages/proxy/__tests__/support/proxyFixture.ts
@@ -1,4 +1,4 @@
-/** A proxy shell over one fake backend server, reached by real sockets. */
+/** A proxy shell with one fake backend server, connected by real sockets. */
 import type { Server } from 'node:net'
 import { Metrics } from '@nutmegcourse/observability'
 import type { RoutingSnapshot } from '@nutmegcourse/protocol'
@@ -44,7 +44,7 @@
       server: SERVER,
       connections,
       isWrite: name => name === WRITE_CLASS,
-      acknowledgesAtOnce: true,
+      acknowledgesImmediately: true,
     }
     this.core = new SimpleCore(this.coreOptions)
     this.shell = new ProxyShell({
@@ -98,7 +98,7 @@
     this.metrics.close()
   }
 
-  /** The last request that the core was told of. */
+  /** The last request that the core received. */
   lastRequest(): RequestId | undefined {
     const arrived = this.core.messages.filter(message => message.kind === 'requestArrived')
     return arrived.at(-1)?.request
@@ -133,7 +133,7 @@
   messageLimitBytes: 1024 * 1024,
 })
 
-/** One group of backend servers at these ports; the first leads. */
+/** A snapshot with one group of backend servers at these ports; the first is the primary. */
 export function routingSnapshot(...ports: readonly number[]): RoutingSnapshot {
   const database = databaseId(DATABASE)
   const classTargets = (name: string, access: 'read' | 'write') => ({
--- a/packages/proxy/__tests__/support/proxyProcessFixture.ts
+++ b/packages/proxy/__tests__/support/proxyProcessFixture.ts
@@ -1,4 +1,4 @@
-/** The shipped binary as a process, with a fake agent and three fake backend servers. */
+/** The proxy binary as a process, with a fake agent and three fake backend servers. */
 import { spawn, type ChildProcess } from 'node:child_process'
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
 import type { Server } from 'node:net'
@@ -49,14 +49,14 @@
 
   async connect(name = READ_CLASS): Promise<pg.Client> {
     const options = `-c nutmegcourse.class=${name}`
-    const place = { host: '127.0.0.1', port: this.#port, user: 'foreman', database: DATABASE }
-    const client = new pg.Client({ ...place, options })
+    const address = { host: '127.0.0.1', port: this.#port, user: 'foreman', database: DATABASE }
+    const client = new pg.Client({ ...address, options })
     client.on('error', () => undefined)
     await client.connect()
     return client
   }
 
-  /** SIGTERM; resolves with the exit code. */
+  /** Sends SIGTERM and resolves to the exit code. */
   async terminate(): Promise<number | null> {
     this.#process?.kill('SIGTERM')
     return this.#exit
@@ -79,7 +79,7 @@
 
   async #spawn(agentPort: number, drainTimeoutMilliseconds: number): Promise<void> {
     const file = join(this.#directory, 'proxy.yaml')
-    const place = (port: number): string => `{ address: 127.0.0.1, port: ${port} }`
+    const endpoint = (port: number): string => `{ address: 127.0.0.1, port: ${port} }`
     writeFileSync(
       file,
       [
@@ -87,8 +87,8 @@
         'zone: tanger-nord',
         'region: tanger',
         'logLevel: error',
-        `listen: ${place(0)}`,
-        `agent: ${place(agentPort)}`,
+        `listen: ${endpoint(0)}`,
+        `agent: ${endpoint(agentPort)}`,
         `drainTimeoutMilliseconds: ${drainTimeoutMilliseconds}`,
       ].join('\n'),
     )
--- a/packages/proxy/__tests__/support/rawCaller.ts
+++ b/packages/proxy/__tests__/support/rawCaller.ts
@@ -1,4 +1,4 @@
-/** A caller that says exactly what a test wants, byte by byte. */
+/** A caller that sends exactly the bytes that a test specifies. */
 import { connect, type Socket } from 'node:net'
 import { ServerFrames, ServerMessage, startupMessage } from '@nutmegcourse/protocol'
 import { DATABASE, READ_CLASS } from './proxyFixture.js'
@@ -20,7 +20,7 @@
 
 export const query = (text: string): Buffer => frameOf('Q', `${text}\0`)
 export const parse = (name: string, text: string): Buffer => frameOf('P', `${name}\0${text}\0\0\0`)
-/** Without parameters, into the unnamed portal. */
+/** A Bind message without parameters for the unnamed portal. */
 export const bind = (name: string): Buffer => frameOf('B', `\0${name}\0\0\0\0\0\0\0`)
 export const execute = (): Buffer => frameOf('E', '\0\0\0\0\0')
 export const sync = (): Buffer => frameOf('S', '')
@@ -57,7 +57,7 @@
     })
   }
 
-  /** A caller that is past its startup. */
+  /** Connects a caller and completes its startup. */
   static async connect(port: number, className = READ_CLASS): Promise<RawCaller> {
     const caller = new RawCaller(port)
     const options = `-c nutmegcourse.class=${className}`
@@ -79,7 +79,7 @@
     return this.#closed
   }
 
-  /** Everything that it was told, as text. */
+  /** All received frames as text. */
   get text(): string {
     return this.frames.map(frame => frame.bytes.toString('latin1')).join('')
   }
@@ -100,11 +100,12 @@
     this.#socket.destroy()
   }
 
-  /** Waits until it holds, or fails with what has come so far. */
-  async until(holds: () => boolean): Promise<void> {
+  /** Waits until the condition holds; on a time-out throws an error that lists the received frames. */
+  async until(condition: () => boolean): Promise<void> {
     const expiresAt = performance.now() + WAIT_TIMEOUT_MILLISECONDS
-    while (!holds()) {
-      if (performance.now() > expiresAt) throw new Error(`waited in vain; got: ${this.types}`)
+    while (!condition()) {
+      if (performance.now() > expiresAt)
+        throw new Error(`condition not met in time; received: ${this.types}`)
       await new Promise<void>(resolve => {
         this.#wake = resolve
         setTimeout(resolve, 20)
@@ -112,7 +113,7 @@
     }
   }
 
-  /** Waits for so many ReadyForQuery. */
+  /** Waits until `count` ReadyForQuery messages were received. */
   async untilReady(count = 1): Promise<void> {
     await this.until(() => this.types.split('Z').length > count)
   }
@@ -123,11 +124,11 @@
   }
 }
 
-/** Waits for something that no caller sees. */
-export async function waitUntil(holds: () => boolean): Promise<void> {
+/** Waits until a condition holds that is not visible to a caller. */
+export async function waitUntil(condition: () => boolean): Promise<void> {
   const expiresAt = performance.now() + WAIT_TIMEOUT_MILLISECONDS
-  while (!holds()) {
-    if (performance.now() > expiresAt) throw new Error('waited in vain')
+  while (!condition()) {
+    if (performance.now() > expiresAt) throw new Error('condition not met in time')
     await new Promise(resolve => setTimeout(resolve, 5))
   }
 }
--- a/packages/proxy/__tests__/support/simpleCore.ts
+++ b/packages/proxy/__tests__/support/simpleCore.ts
@@ -1,6 +1,6 @@
 /**
- * A decision core without decisions: first come, first served over a fixed number of connections to one
- * backend server. Writes are acknowledged when the test says so, or at once.
+ * A simple decision core: first come, first served over a fixed number of connections to one backend
+ * server. Writes are acknowledged immediately or by the test.
  */
 import type { BackendServerId, ClassName, RequestId } from '@nutmegcourse/shared'
 import { connectionId, type ProxyEffect, type ProxyMessage } from '@nutmegcourse/state'
@@ -11,8 +11,8 @@
   readonly server: BackendServerId
   readonly connections: number
   readonly isWrite: (name: ClassName) => boolean
-  /** Whether a held answer is released as soon as it is in. */
-  acknowledgesAtOnce: boolean
+  /** Whether a held answer is acknowledged as soon as it is complete. */
+  acknowledgesImmediately: boolean
 }
 
 export class SimpleCore implements DecisionCore {
@@ -37,7 +37,7 @@
     return null
   }
 
-  /** What the next message makes the core say besides. */
+  /** Adds effects to those that the next message produces. */
   inject(effects: readonly ProxyEffect[]): void {
     this.#injected.push(...effects)
   }
@@ -87,7 +87,7 @@
         })
         return
       case 'requestAbandoned':
-        this.#abandon(message.request, effects)
+        this.#cancel(message.request, effects)
         return
       case 'stop':
         this.#stopping = true
@@ -108,12 +108,12 @@
     this.#writing.delete(connection)
     if (message.transactionOpen && this.#writes.has(message.request)) this.#writing.add(connection)
     const held = this.#writes.delete(message.request)
-    if (held && this.#options.acknowledgesAtOnce) {
+    if (held && this.#options.acknowledgesImmediately) {
       effects.push({ kind: 'acknowledge', request: message.request })
     }
   }
 
-  #abandon(request: RequestId, effects: ProxyEffect[]): void {
+  #cancel(request: RequestId, effects: ProxyEffect[]): void {
     const waiting = this.#waiting.findIndex(entry => entry.request === request)
     if (waiting >= 0) this.#waiting.splice(waiting, 1)
     const connection = this.#running.get(request)
