--- a/packages/proxy/src/activeRequest.ts
+++ b/packages/proxy/src/activeRequest.ts
@@ -79,9 +79,9 @@
 }
 
 /** Removes the caller's names of statements whose Parse the server refused or skipped. */
-export function forgetFailedPrepares(caller: CallerConnection, outcome: RunOutcome): void {
+export function removeFailedPrepares(caller: CallerConnection, outcome: RunOutcome): void {
   for (const slot of outcome.failedParses) {
     if (slot.callerName !== null)
-      caller.statements.forgetDefinition(slot.callerName, slot.statement)
+      caller.statements.removeDefinition(slot.callerName, slot.statement)
   }
 }
--- a/packages/proxy/src/backendRun.ts
+++ b/packages/proxy/src/backendRun.ts
@@ -119,7 +119,7 @@
     this.#phase = plan.preparations > 0 ? 'preparations' : 'answer'
   }
 
-  /** Whether the caller's whole answer has arrived, including ReadyForQuery. */
+  /** Whether the caller's complete answer has arrived, including ReadyForQuery. */
   get isAnswered(): boolean {
     return this.#isAnswered
   }
--- a/packages/proxy/src/callerRequest.ts
+++ b/packages/proxy/src/callerRequest.ts
@@ -24,7 +24,7 @@
   idempotencyKey: string | null = null
   /** Set when the request is submitted to the core. */
   class: ClassName | null = null
-  /** Sent to the caller in place of the refusal that a broken connection leads to. */
+  /** Refusal that replaces the core's, set if the proxy closed the connection because of the request. */
   replacementRefusal: Refusal | null = null
   /** `startupSettings` marks a request made by the proxy, whose answer the caller does not receive. */
   purpose: 'statement' | 'startupSettings' = 'statement'
--- a/packages/proxy/src/callerSettings.ts
+++ b/packages/proxy/src/callerSettings.ts
@@ -25,7 +25,7 @@
 
   /** Returns false if a limit is exceeded. A repeated statement moves to the end. */
   add(statement: string): boolean {
-    const statements = [...this.#statements.filter(known => known !== statement), statement]
+    const statements = [...this.#statements.filter(recorded => recorded !== statement), statement]
     const key = statements.join('\0')
     if (statements.length > SETTINGS_LIMIT || key.length > SETTINGS_LIMIT_CHARACTERS) return false
     this.#statements = statements
--- a/packages/proxy/src/callerTransactions.ts
+++ b/packages/proxy/src/callerTransactions.ts
@@ -61,7 +61,7 @@
   }
 
   #unpin(caller: CallerConnection): void {
-    const known = this.#byCaller.get(caller)
-    if (known?.kind === 'pinned') this.#callersByConnection.delete(known.connection)
+    const transaction = this.#byCaller.get(caller)
+    if (transaction?.kind === 'pinned') this.#callersByConnection.delete(transaction.connection)
   }
 }
--- a/packages/proxy/src/cancelSender.ts
+++ b/packages/proxy/src/cancelSender.ts
@@ -8,8 +8,8 @@
 }
 
 /**
- * Resolves to whether the cancel is settled: the server closed the connection after receiving it, or it
- * was never sent.
+ * Resolves to whether the cancel can no longer take effect: the server closed the connection after
+ * processing it, or it was never sent.
  */
 export function sendCancel(
   server: ListedBackendServer,
--- a/packages/proxy/src/main.ts
+++ b/packages/proxy/src/main.ts
@@ -9,13 +9,13 @@
 
 const HELP = `nutmegcourse-proxy --settings FILE
 
-Serves callers of PostgreSQL databases by the fleet's targets. See docs/SETTINGS.md.
+Serves callers of PostgreSQL databases according to the fleet's targets. See docs/SETTINGS.md.
 
   --settings FILE  settings of this process, as YAML
-  --help           this text
+  --help           show this help
 
 Exit codes: 0 stopped gracefully, 1 stopped with requests cut at the drain timeout,
-2 settings or arguments that can not be used.`
+2 invalid settings or arguments.`
 
 async function main(): Promise<void> {
   const { values } = parseArgs({
--- a/packages/proxy/src/proxyShell.ts
+++ b/packages/proxy/src/proxyShell.ts
@@ -116,7 +116,7 @@
           this.#driver.send({ kind: 'positionAnswered', server, report, askedAt })
         },
         failed: (server, askedAt, error) => {
-          log.event('position query failed', { server, error: error.detail })
+          log.event('position question failed', { server, error: error.detail })
           this.#driver.send({ kind: 'positionFailed', server, askedAt })
         },
       },
@@ -240,7 +240,7 @@
     },
     openFailed: (connection, failure, detail) => {
       this.#connections.delete(connection.id)
-      this.#dependencies.log.event('backend connection failed', {
+      this.#dependencies.log.event('no connection', {
         server: connection.server.id,
         failure,
         detail,
--- a/packages/proxy/src/requestManager.ts
+++ b/packages/proxy/src/requestManager.ts
@@ -13,7 +13,7 @@
 import { isTransactionOpen, type BackendConnection } from './backendConnection.js'
 import {
   READ_ONLY_VIOLATION,
-  forgetFailedPrepares,
+  removeFailedPrepares,
   isRefusedBeforeRunning,
   newActiveRequest,
   statusAfterRefusal,
@@ -123,7 +123,7 @@
     if (transaction.kind === 'pinned') this.#closeAfterEffects(transaction.connection)
   }
 
-  /** Cancels the caller's current request, as asked by a CancelRequest. */
+  /** Cancels the caller's current request on behalf of a CancelRequest. */
   cancel(caller: CallerConnection): void {
     const { head } = caller
     const active = head === null ? undefined : this.#active.get(head.id)
@@ -198,7 +198,7 @@
     const transactionOpen = isTransactionOpen(outcome)
     this.#recordTransaction(active, connection, transactionOpen)
     const refusal = this.#recordSession(active, connection, outcome)
-    forgetFailedPrepares(caller, outcome)
+    removeFailedPrepares(caller, outcome)
     if (active.mode?.readOnly === true && outcome.sqlState === READ_ONLY_VIOLATION) {
       this.#events.refused(request.class, { reason: 'write_in_read_class' })
     }
@@ -247,7 +247,7 @@
     if (active === undefined) return
     this.#events.trace(run.request.id, 'broken', detail)
     if (run.isAnswered && !run.answer.holding) {
-      // The caller has its whole answer; only the position query after it and the transaction are lost.
+      // The caller has its complete answer; only the position query after it and the transaction are lost.
       this.#active.delete(run.request.id)
       this.#transactions.markLost(active.caller, false)
       this.#driver.send({ kind: 'requestAbandoned', request: run.request.id })
--- a/packages/proxy/src/requestSteps.ts
+++ b/packages/proxy/src/requestSteps.ts
@@ -98,7 +98,7 @@
   const name = readText(frame, FRAME_HEADER_BYTES + 1)
   if (name === null) return null
   if (!targetsStatement(frame)) return { kind: 'asIs', frame }
-  statements.forget(name.text)
+  statements.remove(name.text)
   return { kind: 'closeStatement' }
 }
 
--- a/packages/proxy/src/statementCatalog.ts
+++ b/packages/proxy/src/statementCatalog.ts
@@ -31,10 +31,10 @@
 
   acquire(body: Buffer): PreparedStatement {
     const key = body.toString('latin1')
-    const known = this.#entries.get(key)
-    if (known !== undefined) {
-      known.references += 1
-      return known.statement
+    const existing = this.#entries.get(key)
+    if (existing !== undefined) {
+      existing.references += 1
+      return existing.statement
     }
     this.#lastNumber += 1
     const statement = describeStatement(`${SERVER_NAME_PREFIX}${this.#lastNumber}`, body)
@@ -82,13 +82,13 @@
       return this.#unnamed
     }
     const statement = this.#catalog.acquire(body)
-    this.forget(name)
+    this.remove(name)
     this.#named ??= new Map()
     this.#named.set(name, statement)
     return statement
   }
 
-  forget(name: string): void {
+  remove(name: string): void {
     if (name === UNNAMED) {
       this.#unnamed = null
       return
@@ -100,8 +100,8 @@
   }
 
   /** Removes a definition that the backend server refused, unless the name was redefined since. */
-  forgetDefinition(name: string, statement: PreparedStatement): void {
-    if (this.find(name) === statement) this.forget(name)
+  removeDefinition(name: string, statement: PreparedStatement): void {
+    if (this.find(name) === statement) this.remove(name)
   }
 
   clear(): void {
