--- a/packages/proxy/__tests__/backPressure.spec.ts
+++ b/packages/proxy/__tests__/backPressure.spec.ts
@@ -11,7 +11,7 @@
 describe('a caller under back pressure', () => {
   // A client requests 80 MB and stops reading. If the proxy buffered the whole answer, a few such
   // clients would exhaust the memory of the entry host and disconnect all its callers.
-  it('that does not read pauses its backend connection, delays nobody else, and gets every row in the end', () =>
+  it('that does not read delays only its own backend connection, and gets every row in the end', () =>
     withProxy(2, async fixture => {
       const slow = await RawCaller.connect(fixture.port)
       const other = await fixture.connect()
--- a/packages/proxy/src/backendRun.ts
+++ b/packages/proxy/src/backendRun.ts
@@ -241,7 +241,7 @@
     }
   }
 
-  /** No COPY data was sent to the server, so closing the connection rolls back the statement. */
+  /** No COPY data was sent to the server, so closing the connection rolls back uncommitted work. */
   #refuseCopy(): void {
     if (!this.#committed)
       this.request.replacementRefusal = { reason: 'unsupported', detail: 'COPY' }
--- a/packages/proxy/src/proxyShell.ts
+++ b/packages/proxy/src/proxyShell.ts
@@ -249,7 +249,7 @@
     },
     closed: (connection, run, detail) => {
       this.#connections.delete(connection.id)
-      this.#dependencies.log.event('backend connection closed', {
+      this.#dependencies.log.event('connection closed', {
         server: connection.server.id,
         detail,
       })
