--- a/packages/proxy/__tests__/backPressure.spec.ts
+++ b/packages/proxy/__tests__/backPressure.spec.ts
@@ -1,4 +1,4 @@
-/** Callers that do not read: bounded memory, and nobody else waits for them. */
+/** Back pressure: callers that do not read use bounded memory and do not delay other callers. */
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import { withProxy } from './support/proxyFixture.js'
@@ -8,12 +8,12 @@
 const ROWS = 20_000
 const ROW_BYTES = 4000
 
-describe('a caller that does not read its rows', () => {
-  // A gallery client asks for eighty megabytes and goes for tea. Were they read ahead for it, a few
-  // such clients would take the memory of the entry host, and all its callers with it.
-  it('holds back its backend server, not its neighbours, and gets every row in the end', () =>
+describe('a caller under back pressure', () => {
+  // A client requests 80 MB and stops reading. If the proxy buffered the whole answer, a few such
+  // clients would exhaust the memory of the entry host and disconnect all its callers.
+  it('that does not read delays only its own backend connection, and gets every row in the end', () =>
     withProxy(2, async fixture => {
-      const slow = await RawCaller.ready(fixture.port)
+      const slow = await RawCaller.connect(fixture.port)
       const other = await fixture.connect()
       slow.pause()
       slow.send(query(`SELECT rows(${ROWS}, ${ROW_BYTES})`))
@@ -25,17 +25,17 @@
       const rows = slow.frames.filter(frame => frame.type === 'D')
       expect(rows.length).toEqual(ROWS)
       expect(rows.every(row => row.bytes.length === ROW_BYTES + 11)).toEqual(true)
-      slow.leave()
+      slow.disconnect()
     }))
 
-  it('and sends without end is not read without end', () =>
+  it('that pipelines 2000 queries gets every answer in order', () =>
     withProxy(1, async fixture => {
-      const caller = await RawCaller.ready(fixture.port)
+      const caller = await RawCaller.connect(fixture.port)
       const queries = Array.from({ length: 2000 }, (_, index) => query(`SELECT ${index}`))
       caller.send(...queries)
       await caller.untilReady(queries.length)
       const answers = caller.frames.filter(frame => frame.type === 'D').map(frame => frame.bytes)
       expect(answers.every((bytes, index) => bytes.includes(`SELECT ${index}`))).toEqual(true)
-      caller.leave()
+      caller.disconnect()
     }))
 })
--- a/packages/proxy/__tests__/support/shippedProxy.ts
+++ b/packages/proxy/__tests__/support/proxyProcessFixture.ts
@@ -1,4 +1,4 @@
-/** The shipped binary as a process, with a fake agent and three fake backend servers. */
+/** The proxy binary as a process, with a fake agent and three fake backend servers. */
 import { spawn, type ChildProcess } from 'node:child_process'
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
 import type { Server } from 'node:net'
@@ -13,7 +13,7 @@
 
 const PROGRAM = fileURLToPath(new URL('../../src/main.js', import.meta.url))
 
-export class ShippedProxy {
+export class ProxyProcessFixture {
   /** The primary. */
   readonly backend: FakeBackend
   readonly links = new Set<JsonRpcConnection>()
@@ -32,9 +32,9 @@
     this.#snapshot = routingSnapshot(backend.port, ...replicas.map(replica => replica.port))
   }
 
-  static async start(drainTimeoutMilliseconds = 5000): Promise<ShippedProxy> {
+  static async start(drainTimeoutMilliseconds = 5000): Promise<ProxyProcessFixture> {
     const replicas = [await FakeBackend.start(), await FakeBackend.start()]
-    const proxy = new ShippedProxy(await FakeBackend.start(), replicas)
+    const proxy = new ProxyProcessFixture(await FakeBackend.start(), replicas)
     const { server, port } = await listen('127.0.0.1', 0, socket => {
       proxy.#subscribe(new JsonRpcConnection(socket, { 'agent.subscribe': () => null }))
     })
@@ -49,14 +49,14 @@
 
   async connect(name = READ_CLASS): Promise<pg.Client> {
     const options = `-c nutmegcourse.class=${name}`
-    const place = { host: '127.0.0.1', port: this.#port, user: 'foreman', database: DATABASE }
-    const client = new pg.Client({ ...place, options })
+    const address = { host: '127.0.0.1', port: this.#port, user: 'foreman', database: DATABASE }
+    const client = new pg.Client({ ...address, options })
     client.on('error', () => undefined)
     await client.connect()
     return client
   }
 
-  /** SIGTERM; resolves with the exit code. */
+  /** Sends SIGTERM and resolves to the exit code. */
   async terminate(): Promise<number | null> {
     this.#process?.kill('SIGTERM')
     return this.#exit
@@ -79,7 +79,7 @@
 
   async #spawn(agentPort: number, drainTimeoutMilliseconds: number): Promise<void> {
     const file = join(this.#directory, 'proxy.yaml')
-    const place = (port: number): string => `{ address: 127.0.0.1, port: ${port} }`
+    const endpoint = (port: number): string => `{ address: 127.0.0.1, port: ${port} }`
     writeFileSync(
       file,
       [
@@ -87,8 +87,8 @@
         'zone: tanger-nord',
         'region: tanger',
         'logLevel: error',
-        `listen: ${place(0)}`,
-        `agent: ${place(agentPort)}`,
+        `listen: ${endpoint(0)}`,
+        `agent: ${endpoint(agentPort)}`,
         `drainTimeoutMilliseconds: ${drainTimeoutMilliseconds}`,
       ].join('\n'),
     )
@@ -107,11 +107,11 @@
   }
 }
 
-export async function withShippedProxy(
+export async function withProxyProcess(
   drainTimeoutMilliseconds: number,
-  test: (proxy: ShippedProxy) => Promise<void>,
+  test: (proxy: ProxyProcessFixture) => Promise<void>,
 ): Promise<void> {
-  const proxy = await ShippedProxy.start(drainTimeoutMilliseconds)
+  const proxy = await ProxyProcessFixture.start(drainTimeoutMilliseconds)
   try {
     await test(proxy)
   } finally {
--- a/packages/proxy/__tests__/support/rawCaller.ts
+++ b/packages/proxy/__tests__/support/rawCaller.ts
@@ -1,4 +1,4 @@
-/** A caller that says exactly what a test wants, byte by byte. */
+/** A caller that sends exactly the bytes that a test specifies. */
 import { connect, type Socket } from 'node:net'
 import { ServerFrames, ServerMessage, startupMessage } from '@nutmegcourse/protocol'
 import { DATABASE, READ_CLASS } from './proxyFixture.js'
@@ -8,7 +8,7 @@
   readonly bytes: Buffer
 }
 
-const WAIT_MILLISECONDS = 5000
+const WAIT_TIMEOUT_MILLISECONDS = 5000
 
 export const frameOf = (type: string, body: Buffer | string): Buffer => {
   const bytes = Buffer.from(body)
@@ -20,7 +20,7 @@
 
 export const query = (text: string): Buffer => frameOf('Q', `${text}\0`)
 export const parse = (name: string, text: string): Buffer => frameOf('P', `${name}\0${text}\0\0\0`)
-/** Without parameters, into the unnamed portal. */
+/** A Bind message without parameters for the unnamed portal. */
 export const bind = (name: string): Buffer => frameOf('B', `\0${name}\0\0\0\0\0\0\0`)
 export const execute = (): Buffer => frameOf('E', '\0\0\0\0\0')
 export const sync = (): Buffer => frameOf('S', '')
@@ -40,12 +40,12 @@
     this.#socket.on('data', chunk => {
       this.#reader.push(chunk, {
         decisive: (type, bytes, start, end) => {
-          this.#take(type, bytes.subarray(start, end))
+          this.#record(type, bytes.subarray(start, end))
         },
         passing: (type, bytes, start, end, _opens, closes) => {
           this.#pieces.push(bytes.subarray(start, end))
           if (!closes) return
-          this.#take(type, Buffer.concat(this.#pieces))
+          this.#record(type, Buffer.concat(this.#pieces))
           this.#pieces = []
         },
       })
@@ -57,8 +57,8 @@
     })
   }
 
-  /** A caller that is past its startup. */
-  static async ready(port: number, className = READ_CLASS): Promise<RawCaller> {
+  /** Connects a caller and completes its startup. */
+  static async connect(port: number, className = READ_CLASS): Promise<RawCaller> {
     const caller = new RawCaller(port)
     const options = `-c nutmegcourse.class=${className}`
     caller.send(startupMessage({ user: 'foreman', database: DATABASE, options }))
@@ -79,7 +79,7 @@
     return this.#closed
   }
 
-  /** Everything that it was told, as text. */
+  /** All received frames as text. */
   get text(): string {
     return this.frames.map(frame => frame.bytes.toString('latin1')).join('')
   }
@@ -96,15 +96,16 @@
     this.#socket.resume()
   }
 
-  leave(): void {
+  disconnect(): void {
     this.#socket.destroy()
   }
 
-  /** Waits until it holds, or fails with what has come so far. */
-  async until(holds: () => boolean): Promise<void> {
-    const expiresAt = performance.now() + WAIT_MILLISECONDS
-    while (!holds()) {
-      if (performance.now() > expiresAt) throw new Error(`waited in vain; got: ${this.types}`)
+  /** Waits until the condition holds; on a time-out throws an error that lists the received frames. */
+  async until(condition: () => boolean): Promise<void> {
+    const expiresAt = performance.now() + WAIT_TIMEOUT_MILLISECONDS
+    while (!condition()) {
+      if (performance.now() > expiresAt)
+        throw new Error(`condition not met in time; received: ${this.types}`)
       await new Promise<void>(resolve => {
         this.#wake = resolve
         setTimeout(resolve, 20)
@@ -112,22 +113,22 @@
     }
   }
 
-  /** Waits for so many ReadyForQuery. */
+  /** Waits until `count` ReadyForQuery messages were received. */
   async untilReady(count = 1): Promise<void> {
     await this.until(() => this.types.split('Z').length > count)
   }
 
-  #take(type: number, bytes: Buffer): void {
+  #record(type: number, bytes: Buffer): void {
     if (type === ServerMessage.parameterStatus) return
     this.frames.push({ type: String.fromCharCode(type), bytes: Buffer.from(bytes) })
   }
 }
 
-/** Waits for something that no caller sees. */
-export async function eventually(holds: () => boolean): Promise<void> {
-  const expiresAt = performance.now() + WAIT_MILLISECONDS
-  while (!holds()) {
-    if (performance.now() > expiresAt) throw new Error('waited in vain')
+/** Waits until a condition holds that is not visible to a caller. */
+export async function waitUntil(condition: () => boolean): Promise<void> {
+  const expiresAt = performance.now() + WAIT_TIMEOUT_MILLISECONDS
+  while (!condition()) {
+    if (performance.now() > expiresAt) throw new Error('condition not met in time')
     await new Promise(resolve => setTimeout(resolve, 5))
   }
 }
--- a/packages/proxy/src/activeRequest.ts
+++ b/packages/proxy/src/activeRequest.ts
@@ -1,24 +1,24 @@
-/** A request between its start and its final answer, and what its outcome means. */
+/** The state of a request between its start and its final answer, and the evaluation of its outcome. */
 import { TransactionStatus, type TransactionStatusByte } from '@nutmegcourse/protocol'
 import type { BackendConnection } from './backendConnection.js'
 import type { BackendRun, RunOutcome } from './backendRun.js'
 import type { CallerConnection } from './callerConnection.js'
 import type { CallerRequest } from './callerRequest.js'
-import type { RunManner } from './callerTransactions.js'
-import type { AnswerTarget, HeldAnswer } from './heldAnswer.js'
-import { readTransactionEnd } from './transactionWords.js'
+import type { RunMode } from './callerTransactions.js'
+import type { AnswerTarget, AnswerBuffer } from './answerBuffer.js'
+import { readTransactionEnd } from './transactionCommands.js'
 
 export interface ActiveRequest {
   readonly request: CallerRequest
   readonly caller: CallerConnection
   readonly insideTransaction: boolean
-  manner: RunManner | null
-  answer: HeldAnswer | null
+  mode: RunMode | null
+  answer: AnswerBuffer | null
   connection: BackendConnection | null
-  /** Set once the whole answer is in and waits for the core's word. */
+  /** Set while a complete answer is held until the core acknowledges or refuses it. */
   outcome: RunOutcome | null
-  /** Refused before its Sync came: ReadyForQuery with this status is still owed. */
-  owedStatus: TransactionStatusByte | null
+  /** Set if the request was refused before its Sync: ReadyForQuery with this status follows the Sync. */
+  pendingReadyStatus: TransactionStatusByte | null
 }
 
 export function newActiveRequest(
@@ -30,38 +30,39 @@
     request,
     caller,
     insideTransaction,
-    manner: null,
+    mode: null,
     answer: null,
     connection: null,
     outcome: null,
-    owedStatus: null,
+    pendingReadyStatus: null,
   }
 }
 
-const NOBODY: AnswerTarget = { write: () => undefined }
+const DISCARDING_TARGET: AnswerTarget = { write: () => undefined }
 
-/** Who gets the answer. */
-export const targetOf = (active: ActiveRequest): AnswerTarget =>
-  active.request.purpose === 'statement' ? active.caller : NOBODY
+/** Where the answer goes. Answers to requests that the proxy made itself are discarded. */
+export const answerTargetOf = (active: ActiveRequest): AnswerTarget =>
+  active.request.purpose === 'statement' ? active.caller : DISCARDING_TARGET
 
-/** What the caller finds itself in after an error: a lost transaction lasts until its ROLLBACK. */
+/** The transaction status after an error: a lost transaction stays failed until its ROLLBACK. */
 export function statusAfterRefusal(active: ActiveRequest): TransactionStatusByte {
   if (!active.insideTransaction || active.outcome !== null) return TransactionStatus.idle
-  const text = active.request.onlyText
-  const ends = text !== null && readTransactionEnd(text) === 'commit'
-  return ends ? TransactionStatus.idle : TransactionStatus.failed
+  const text = active.request.singleStatementText
+  const isCommit = text !== null && readTransactionEnd(text) === 'commit'
+  return isCommit ? TransactionStatus.idle : TransactionStatus.failed
 }
 
-/** Errors by which a server says that it takes no writes, or nothing, now. */
 export const READ_ONLY_VIOLATION = '25006'
-const NOT_NOW: ReadonlySet<string> = new Set([READ_ONLY_VIOLATION, '57P03'])
+/** SQLSTATEs of a server that currently accepts no writes, or no statements at all. */
+const NOT_ACCEPTING_WRITES: ReadonlySet<string> = new Set([READ_ONLY_VIOLATION, '57P03'])
 
 /**
- * A primary that was replaced refuses a write whole. It may go to the new one, though it may not be
- * repeated otherwise: an error in place of the first command's completion means that nothing ran. An
- * error that ends the connection is not taken for such a refusal, since it may cut off an answer.
+ * Whether a server refused a write before any part of it ran, as a replaced primary does. Such a write
+ * may be sent to the new primary even if it must not be retried otherwise: an error in place of the
+ * first command's completion means that nothing ran. An error that closes the connection does not
+ * count, since it may cut off an answer.
  */
-export function isRefusedUnrun(
+export function isRefusedBeforeRunning(
   active: ActiveRequest,
   run: BackendRun,
   outcome: RunOutcome,
@@ -73,13 +74,14 @@
     !active.insideTransaction &&
     run.answer.holding &&
     !run.answer.partlySent &&
-    NOT_NOW.has(outcome.sqlState ?? '')
+    NOT_ACCEPTING_WRITES.has(outcome.sqlState ?? '')
   )
 }
 
-/** The caller's names for statements that the server refused or skipped mean nothing. */
-export function forgetUnprepared(caller: CallerConnection, outcome: RunOutcome): void {
-  for (const slot of outcome.unprepared) {
-    if (slot.callerName !== null) caller.statements.forgetIf(slot.callerName, slot.statement)
+/** Removes the caller's names of statements whose Parse the server refused or skipped. */
+export function removeFailedPrepares(caller: CallerConnection, outcome: RunOutcome): void {
+  for (const slot of outcome.failedParses) {
+    if (slot.callerName !== null)
+      caller.statements.removeDefinition(slot.callerName, slot.statement)
   }
 }
--- a/packages/proxy/src/backendConnection.ts
+++ b/packages/proxy/src/backendConnection.ts
@@ -19,13 +19,13 @@
 import type { CallerSettings } from './callerSettings.js'
 import { ConnectionSetup } from './connectionSetup.js'
 import { ConnectionStatements } from './connectionStatements.js'
-import type { HeldAnswer } from './heldAnswer.js'
+import type { AnswerBuffer } from './answerBuffer.js'
 import { StepEncoder } from './requestSteps.js'
 
 export interface BackendConnectionEvents {
   opened(connection: BackendConnection): void
   openFailed(connection: BackendConnection, failure: ConnectFailure, detail: string): void
-  /** It is of no use any more. Comes once, never after `openFailed` or `close`. */
+  /** The connection is unusable. Emitted at most once, and never after `openFailed` or `close`. */
   closed(connection: BackendConnection, run: BackendRun | null, detail: string): void
   answered(connection: BackendConnection, run: BackendRun): void
   ended(connection: BackendConnection, run: BackendRun, outcome: RunOutcome): void
@@ -38,24 +38,24 @@
 
 export interface RunRequest {
   readonly request: CallerRequest
-  readonly answer: HeldAnswer
+  readonly answer: AnswerBuffer
   readonly settings: CallerSettings
   readonly readOnly: boolean
-  readonly asksPosition: boolean
-  /** The request continues a transaction: nothing may be put before it. */
+  readonly queriesPosition: boolean
+  /** The request continues a transaction: no setup queries may be sent before it. */
   readonly insideTransaction: boolean
 }
 
 /**
- * All backend connections read into one buffer, since each chunk is dealt with before the next is read:
- * one allocation in place of one a read.
+ * Shared read buffer of all backend connections, which saves an allocation per read. Each chunk is
+ * processed completely before the next one is read.
  */
 const READ_BUFFER = Buffer.allocUnsafeSlow(64 * 1024)
 const KEEP_ALIVE_MILLISECONDS = 10_000
 const APPLICATION_NAME = 'nutmegcourse-proxy'
-const POSITION_QUESTION = queryMessage(POSITION_STATEMENT)
-/** A server that has forgotten a statement, or has one the proxy does not know of, is cleaned up. */
-const STATEMENT_CONFUSION: ReadonlySet<string> = new Set(['26000', '42P05', '0A000'])
+const POSITION_QUERY = queryMessage(POSITION_STATEMENT)
+/** Errors that show that the server's prepared statements differ from the proxy's record of them. */
+const STATEMENT_MISMATCH_STATES: ReadonlySet<string> = new Set(['26000', '42P05', '0A000'])
 
 type State = 'opening' | 'open' | 'closed'
 
@@ -74,9 +74,9 @@
   #run: BackendRun | null = null
   #encoder: StepEncoder | null = null
   #sentSteps = 0
-  #asksPosition = false
-  #cancelsUnderWay = 0
-  #outcomeWaiting: RunOutcome | null = null
+  #queriesPosition = false
+  #cancelsInFlight = 0
+  #pendingOutcome: RunOutcome | null = null
 
   constructor(
     id: ConnectionId,
@@ -97,7 +97,7 @@
       onread: { buffer: READ_BUFFER, callback: this.#read },
     })
     this.#openTimer = setTimeout(() => {
-      this.#fail('timeout', 'no answer to the connection attempt in time')
+      this.#failOpening('timeout', 'connection attempt timed out')
     }, options.connectTimeoutMilliseconds)
     this.#listen()
   }
@@ -106,7 +106,7 @@
     return this.#state
   }
 
-  /** What the server told of itself at startup. */
+  /** Parameters that the server reported at startup. */
   get parameters(): ReadonlyMap<string, string> {
     return this.#startup.parameters
   }
@@ -115,22 +115,24 @@
     return this.#run
   }
 
-  /** Whether a frame reached the caller in part: nothing can be said to it any more. */
+  /** Whether only part of a frame was received, so that no other message may follow it to the caller. */
   get insideFrame(): boolean {
     return this.#frames.insideFrame
   }
 
-  /** Sends a request with what must stand around it, in one write. */
-  start(order: RunRequest): void {
-    const { request } = order
-    const output = order.insideTransaction ? [] : this.setup.prepare(order.settings, order.readOnly)
-    const plan = { preparations: output.length, asksPosition: order.asksPosition }
-    this.#run = new BackendRun(request, order.answer, plan, this)
+  /** Sends a request, with the setup queries before it and the position query after it, in one write. */
+  start(runRequest: RunRequest): void {
+    const { request } = runRequest
+    const output = runRequest.insideTransaction
+      ? []
+      : this.setup.prepare(runRequest.settings, runRequest.readOnly)
+    const plan = { preparations: output.length, queriesPosition: runRequest.queriesPosition }
+    this.#run = new BackendRun(request, runRequest.answer, plan, this)
     this.#encoder = null
     this.#sentSteps = 0
-    this.#asksPosition = order.asksPosition
+    this.#queriesPosition = runRequest.queriesPosition
     if (this.#state !== 'open') {
-      this.#breakOff('the connection was closed before the request was sent')
+      this.#closeOnError('connection closed before the request was sent')
       return
     }
     if (request.shape.kind === 'simple') output.push(request.shape.frame)
@@ -138,7 +140,7 @@
     this.#writeAll(output)
   }
 
-  /** Sends what a running request has got from its caller since. */
+  /** Sends the messages that a running request has received from its caller since. */
   sendMore(): void {
     if (this.#run === null || this.#state !== 'open') return
     const output: Buffer[] = []
@@ -146,7 +148,7 @@
     this.#writeAll(output)
   }
 
-  /** The caller does not take its answer: no more of it is read. */
+  /** Stops reading the answer while the caller does not receive it. */
   pause(): void {
     this.#socket.pause()
   }
@@ -156,20 +158,20 @@
   }
 
   /**
-   * Asks the server to cancel the running request. A cancel names the connection, not the request, so a
-   * late one would hit whatever runs next, perhaps another caller's. Hence the request does not end
-   * here before the server has taken the cancel, which shows by the server closing that connection.
+   * Asks the server to cancel the running request. A cancel identifies the connection, not the request,
+   * so a late one would hit the next request, perhaps of another caller. The request therefore does not
+   * end before the server has processed the cancel and closed the connection that carried it.
    */
   cancel(): void {
     const { key } = this.#startup
     if (this.#run === null || key === null) return
-    this.#cancelsUnderWay += 1
-    void sendCancel(this.server, key, this.#options.connectTimeoutMilliseconds).then(taken => {
-      this.#cancelSettled(taken)
+    this.#cancelsInFlight += 1
+    void sendCancel(this.server, key, this.#options.connectTimeoutMilliseconds).then(isAccepted => {
+      this.#handleCancelDone(isAccepted)
     })
   }
 
-  /** Closes without telling: whoever calls this knows. */
+  /** Closes the connection without emitting an event. */
   close(): void {
     this.#state = 'closed'
     this.#clearOpenTimer()
@@ -201,13 +203,13 @@
   }
 
   ended(_run: BackendRun, outcome: RunOutcome): void {
-    this.#noteStatements(outcome)
-    if (this.#cancelsUnderWay > 0) this.#outcomeWaiting = outcome
+    this.#recordStatements(outcome)
+    if (this.#cancelsInFlight > 0) this.#pendingOutcome = outcome
     else this.#end(outcome)
   }
 
   faulted(_run: BackendRun, fault: RunFault): void {
-    this.#breakOff(describeFault(fault))
+    this.#closeOnError(describeFault(fault))
   }
 
   readonly #read = (length: number, buffer: Uint8Array): boolean => {
@@ -215,7 +217,7 @@
     const chunk = buffer === READ_BUFFER ? READ_BUFFER.subarray(0, length) : Buffer.from(buffer)
     const readable = this.#frames.push(chunk, this)
     this.#run?.flush()
-    if (!readable) this.#breakOff('the backend server sent no PostgreSQL frame')
+    if (!readable) this.#closeOnError('backend server sent bytes that are not a PostgreSQL frame')
     return true
   }
 
@@ -228,10 +230,10 @@
     })
     socket.on('error', error => {
       const refused = 'code' in error && error.code === 'ECONNREFUSED'
-      this.#breakOff(error.message, refused ? 'refused' : 'lost')
+      this.#closeOnError(error.message, refused ? 'refused' : 'lost')
     })
     socket.on('close', () => {
-      this.#breakOff('the backend server closed the connection')
+      this.#closeOnError('backend server closed the connection')
     })
   }
 
@@ -240,15 +242,15 @@
     this.#openTimer = null
   }
 
-  #fail(failure: ConnectFailure, detail: string): void {
+  #failOpening(failure: ConnectFailure, detail: string): void {
     this.close()
     this.#events.openFailed(this, failure, detail)
   }
 
-  #breakOff(detail: string, failure: ConnectFailure = 'lost'): void {
+  #closeOnError(detail: string, failure: ConnectFailure = 'lost'): void {
     if (this.#state === 'closed') return
     if (this.#state === 'opening') {
-      this.#fail(failure, detail)
+      this.#failOpening(failure, detail)
       return
     }
     const run = this.#run
@@ -259,10 +261,10 @@
   #readStartup(type: number, bytes: Buffer, start: number, end: number): void {
     const step = this.#startup.read(type, bytes, start, end)
     switch (step.kind) {
-      case 'going':
+      case 'pending':
         return
       case 'failed':
-        this.#fail(step.failure, step.detail)
+        this.#failOpening(step.failure, step.detail)
         return
       case 'ready':
         this.#state = 'open'
@@ -277,10 +279,10 @@
       case ServerMessage.notificationResponse:
         return
       case ServerMessage.errorResponse:
-        this.#breakOff(readServerError(bytes, start, end).message)
+        this.#closeOnError(readServerError(bytes, start, end).message)
         return
       default:
-        this.#breakOff('the backend server sent an answer to no request')
+        this.#closeOnError('backend server sent an answer without a request')
     }
   }
 
@@ -295,7 +297,7 @@
         if (step !== undefined) this.#encoder.encode(step, output)
       }
     }
-    if (request.complete && this.#asksPosition) output.push(POSITION_QUESTION)
+    if (request.complete && this.#queriesPosition) output.push(POSITION_QUERY)
   }
 
   #writeAll(output: readonly Buffer[]): void {
@@ -304,10 +306,10 @@
     this.#socket.write(output.length === 1 ? only : Buffer.concat(output))
   }
 
-  #noteStatements(outcome: RunOutcome): void {
-    for (const slot of outcome.unprepared) this.#statements.remove(slot.statement.serverName)
-    const confused = outcome.sqlState !== null && STATEMENT_CONFUSION.has(outcome.sqlState)
-    if (outcome.closesSkipped || confused) this.setup.markDirty()
+  #recordStatements(outcome: RunOutcome): void {
+    for (const slot of outcome.failedParses) this.#statements.remove(slot.statement.serverName)
+    const isMismatch = outcome.sqlState !== null && STATEMENT_MISMATCH_STATES.has(outcome.sqlState)
+    if (outcome.closesSkipped || isMismatch) this.setup.markDirty()
   }
 
   #end(outcome: RunOutcome): void {
@@ -319,15 +321,15 @@
     this.#events.ended(this, run, outcome)
   }
 
-  #cancelSettled(taken: boolean): void {
-    this.#cancelsUnderWay -= 1
-    if (!taken) {
-      this.#breakOff('a cancel request got lost on its way to the backend server')
+  #handleCancelDone(isAccepted: boolean): void {
+    this.#cancelsInFlight -= 1
+    if (!isAccepted) {
+      this.#closeOnError('cancel request did not reach the backend server')
       return
     }
-    const outcome = this.#outcomeWaiting
-    if (this.#cancelsUnderWay > 0 || outcome === null) return
-    this.#outcomeWaiting = null
+    const outcome = this.#pendingOutcome
+    if (this.#cancelsInFlight > 0 || outcome === null) return
+    this.#pendingOutcome = null
     this.#end(outcome)
   }
 }
@@ -335,18 +337,18 @@
 function describeFault(fault: RunFault): string {
   switch (fault.kind) {
     case 'fatalError':
-      return `the backend server ended the connection: ${fault.error.message}`
+      return `backend server closed the connection: ${fault.error.message}`
     case 'preparationFailed':
-      return `the connection could not be prepared: ${fault.error.message}`
+      return `connection setup failed: ${fault.error.message}`
     case 'unexpectedMessage':
-      return `the backend server sent an unexpected message of type ${fault.type}`
+      return `backend server sent an unexpected message of type ${fault.type}`
     case 'copy':
       return 'COPY is not supported'
     case 'answerTooLarge':
-      return 'the answer is too large to be held until its write is confirmed'
+      return 'answer exceeds the limit for holding it until its write is confirmed'
   }
 }
 
-/** Whether a later statement of the caller finds an open transaction. */
+/** Whether the request left a transaction open, including a failed one. */
 export const isTransactionOpen = (outcome: RunOutcome): boolean =>
   outcome.status !== TransactionStatus.idle
--- a/packages/proxy/src/backendRun.ts
+++ b/packages/proxy/src/backendRun.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt of a request on one backend connection: tells the caller's answer from the answers to what
- * the proxy sent around it, in the order of the protocol.
+ * One attempt to run a request on a backend connection: separates the caller's answer from the answers
+ * to the proxy's own messages before and after the request.
  */
 import {
   ServerMessage,
@@ -16,7 +16,7 @@
 } from '@nutmegcourse/protocol'
 import type { LogPosition } from '@nutmegcourse/shared'
 import type { CallerRequest } from './callerRequest.js'
-import type { HeldAnswer } from './heldAnswer.js'
+import type { AnswerBuffer } from './answerBuffer.js'
 import type { AnswerSlots, ParseSlot } from './requestSteps.js'
 
 export interface RunOutcome {
@@ -27,41 +27,41 @@
   readonly failed: boolean
   /** Commands that succeeded. */
   readonly commands: number
-  /** Tags, each once, of the commands that change more than data and transactions. */
+  /** Distinct tags of the commands that change session state. */
   readonly sessionTags: readonly SessionTag[]
   /** SQLSTATE of the last error of the answer. */
   readonly sqlState: string | null
   /** Prepared statements whose Parse was not answered with success. */
-  readonly unprepared: readonly ParseSlot[]
-  /** The proxy's own clean-up was skipped after an error. */
+  readonly failedParses: readonly ParseSlot[]
+  /** The server skipped Close messages of the proxy after an error. */
   readonly closesSkipped: boolean
 }
 
-/** Why a connection can not be used any further in the middle of a run. */
+/** Why a connection became unusable during a run. */
 export type RunFault =
-  /** The server ends the connection; its error tells why. */
+  /** The server closes the connection with this error. */
   | { readonly kind: 'fatalError'; readonly error: ServerError }
-  /** What the proxy sent ahead of the request failed, so the request ran under unknown settings. */
+  /** A setup query before the request failed, so the request ran with unknown settings. */
   | { readonly kind: 'preparationFailed'; readonly error: ServerError }
   | { readonly kind: 'unexpectedMessage'; readonly type: number }
   | { readonly kind: 'copy' }
   | { readonly kind: 'answerTooLarge' }
 
 export interface RunEvents {
-  /** The caller's answer is whole; the position question may still be open. */
+  /** The caller's answer is complete; the position query may still be outstanding. */
   answered(run: BackendRun): void
   ended(run: BackendRun, outcome: RunOutcome): void
   faulted(run: BackendRun, fault: RunFault): void
 }
 
 export interface RunPlan {
-  /** Answers to swallow before the caller's. */
+  /** Number of answers to discard before the caller's. */
   readonly preparations: number
-  /** The position question follows the request. */
-  readonly asksPosition: boolean
+  /** A position query follows the request. */
+  readonly queriesPosition: boolean
 }
 
-/** Tags of commands whose effect stays on the connection when their transaction is over. */
+/** Tags of commands whose effect on the session outlasts their transaction. */
 const SESSION_TAGS = [
   'SET',
   'RESET',
@@ -76,28 +76,30 @@
 
 export type SessionTag = (typeof SESSION_TAGS)[number]
 
-const asSessionTag: ReadonlyMap<string, SessionTag> = new Map(SESSION_TAGS.map(tag => [tag, tag]))
+const sessionTagsByName: ReadonlyMap<string, SessionTag> = new Map(
+  SESSION_TAGS.map(tag => [tag, tag]),
+)
 
-/** Of these, the ones that a caller of pooled connections could not make use of afterwards. */
+/** Session commands that are refused because their effect is not available on pooled connections. */
 const REFUSED_TAGS: ReadonlySet<string> = new Set<SessionTag>(['LISTEN', 'PREPARE'])
 const COMMIT_TAG = 'COMMIT'
 const CLOSE_COMPLETE_TYPE = ServerMessage.closeComplete
 const FATAL_SEVERITIES: ReadonlySet<string> = new Set(['FATAL', 'PANIC'])
 
-type Phase = 'preparations' | 'answer' | 'question' | 'over'
+type Phase = 'preparations' | 'answer' | 'positionQuery' | 'ended'
 
 export class BackendRun implements ServerFrameSink {
   readonly request: CallerRequest
-  readonly answer: HeldAnswer
+  readonly answer: AnswerBuffer
   readonly slots: AnswerSlots = { parses: [], closes: [] }
   readonly #events: RunEvents
-  readonly #asksPosition: boolean
+  readonly #queriesPosition: boolean
   #preparations: number
   #phase: Phase
-  /** Neighbouring frames that all go to the caller leave as one piece. */
-  #kept: Buffer | null = null
-  #keptStart = 0
-  #keptEnd = 0
+  /** Adjacent frames for the caller, sent in one piece. */
+  #pending: Buffer | null = null
+  #pendingStart = 0
+  #pendingEnd = 0
   #status: TransactionStatusByte = TransactionStatus.idle
   #isAnswered = false
   #failed = false
@@ -108,16 +110,16 @@
   #position: LogPosition | null = null
   #rowPieces: Buffer[] = []
 
-  constructor(request: CallerRequest, answer: HeldAnswer, plan: RunPlan, events: RunEvents) {
+  constructor(request: CallerRequest, answer: AnswerBuffer, plan: RunPlan, events: RunEvents) {
     this.request = request
     this.answer = answer
     this.#events = events
-    this.#asksPosition = plan.asksPosition
+    this.#queriesPosition = plan.queriesPosition
     this.#preparations = plan.preparations
     this.#phase = plan.preparations > 0 ? 'preparations' : 'answer'
   }
 
-  /** Whether the caller's whole answer came, ReadyForQuery included. */
+  /** Whether the caller's complete answer has arrived, including ReadyForQuery. */
   get isAnswered(): boolean {
     return this.#isAnswered
   }
@@ -127,10 +129,10 @@
     return this.#status
   }
 
-  /** Nothing of it is wanted any more. */
+  /** Ignores further messages and discards the held part of the answer. */
   abandon(): void {
-    this.#phase = 'over'
-    this.#kept = null
+    this.#phase = 'ended'
+    this.#pending = null
     this.answer.drop()
   }
 
@@ -142,8 +144,8 @@
     _opens: boolean,
     closes: boolean,
   ): void {
-    if (this.#phase === 'answer') this.#keep(bytes, start, end)
-    else if (this.#phase === 'question' && type === ServerMessage.dataRow) {
+    if (this.#phase === 'answer') this.#forward(bytes, start, end)
+    else if (this.#phase === 'positionQuery' && type === ServerMessage.dataRow) {
       this.#collectRow(Buffer.from(bytes.subarray(start, end)), closes)
     }
   }
@@ -156,41 +158,41 @@
       case 'answer':
         this.#readAnswer(type, bytes, start, end)
         return
-      case 'question':
-        this.#readQuestion(type, bytes, start, end)
+      case 'positionQuery':
+        this.#readPositionAnswer(type, bytes, start, end)
         return
-      case 'over':
+      case 'ended':
     }
   }
 
-  /** The chunk at hand is read: what is for the caller leaves now. */
+  /** Sends the pending bytes to the caller at the end of a received chunk. */
   flush(): void {
-    const bytes = this.#kept
+    const bytes = this.#pending
     if (bytes === null) return
-    this.#kept = null
-    // A copy: the socket's buffer is reused for the next chunk of any backend connection.
-    const piece = Buffer.allocUnsafe(this.#keptEnd - this.#keptStart)
-    bytes.copy(piece, 0, this.#keptStart, this.#keptEnd)
+    this.#pending = null
+    // Copied because the read buffer is reused for the next chunk of any backend connection.
+    const piece = Buffer.allocUnsafe(this.#pendingEnd - this.#pendingStart)
+    bytes.copy(piece, 0, this.#pendingStart, this.#pendingEnd)
     if (!this.answer.push(piece)) this.#fault({ kind: 'answerTooLarge' })
   }
 
-  #keep(bytes: Buffer, start: number, end: number): void {
-    if (this.#kept === bytes && this.#keptEnd === start) {
-      this.#keptEnd = end
+  #forward(bytes: Buffer, start: number, end: number): void {
+    if (this.#pending === bytes && this.#pendingEnd === start) {
+      this.#pendingEnd = end
       return
     }
     this.flush()
-    this.#kept = bytes
-    this.#keptStart = start
-    this.#keptEnd = end
+    this.#pending = bytes
+    this.#pendingStart = start
+    this.#pendingEnd = end
   }
 
-  #replace(frame: Buffer): void {
-    this.#keep(frame, 0, frame.length)
+  #forwardFrame(frame: Buffer): void {
+    this.#forward(frame, 0, frame.length)
   }
 
   #fault(fault: RunFault): void {
-    if (this.#phase === 'over') return
+    if (this.#phase === 'ended') return
     this.abandon()
     this.#events.faulted(this, fault)
   }
@@ -207,7 +209,7 @@
   #readAnswer(type: number, bytes: Buffer, start: number, end: number): void {
     switch (type) {
       case ServerMessage.readyForQuery:
-        this.#keep(bytes, start, end)
+        this.#forward(bytes, start, end)
         this.#endAnswer(bytes[end - 1])
         return
       case ServerMessage.commandComplete:
@@ -217,16 +219,16 @@
         this.#readError(bytes, start, end)
         return
       case ServerMessage.parseComplete:
-        if (this.slots.parses.shift()?.swallowed !== true) this.#keep(bytes, start, end)
+        if (this.slots.parses.shift()?.hidden !== true) this.#forward(bytes, start, end)
         return
       case ServerMessage.closeComplete:
         this.#readCloseComplete(bytes, start, end)
         return
       case ServerMessage.parameterStatus:
-        this.#keep(bytes, start, end)
+        this.#forward(bytes, start, end)
         return
       case ServerMessage.notificationResponse:
-        // Meant for whoever listened on this connection before; nobody does on a pooled one.
+        // LISTEN is refused on pooled connections, so no caller expects notifications.
         return
       case ServerMessage.copyInResponse:
       case ServerMessage.copyOutResponse:
@@ -239,23 +241,24 @@
     }
   }
 
-  /** No data of a COPY ever went to the server, so closing the connection undoes what was begun. */
+  /** No COPY data was sent to the server, so closing the connection rolls back uncommitted work. */
   #refuseCopy(): void {
-    if (!this.#committed) this.request.replacement = { reason: 'unsupported', detail: 'COPY' }
+    if (!this.#committed)
+      this.request.replacementRefusal = { reason: 'unsupported', detail: 'COPY' }
     this.#fault({ kind: 'copy' })
   }
 
   #readCloseComplete(bytes: Buffer, start: number, end: number): void {
     const slot = this.slots.closes.shift()
-    if (slot === 'swallow') return
+    if (slot === 'discard') return
     if (slot === 'asParseComplete') bytes[start] = ServerMessage.parseComplete
     else bytes[start] = CLOSE_COMPLETE_TYPE
-    this.#keep(bytes, start, end)
+    this.#forward(bytes, start, end)
   }
 
   #readTag(bytes: Buffer, start: number, end: number): void {
     const tag = readCommandTag(bytes, start, end)
-    const sessionTag = asSessionTag.get(tag)
+    const sessionTag = sessionTagsByName.get(tag)
     this.#commands += 1
     if (sessionTag !== undefined && !this.#sessionTags.includes(sessionTag)) {
       this.#sessionTags.push(sessionTag)
@@ -266,10 +269,10 @@
       this.answer.seal()
     }
     if (!REFUSED_TAGS.has(tag)) {
-      this.#keep(bytes, start, end)
+      this.#forward(bytes, start, end)
       return
     }
-    this.#replace(
+    this.#forwardFrame(
       errorResponse({
         severity: 'ERROR',
         sqlState: '0A000',
@@ -287,7 +290,7 @@
     }
     this.#failed = true
     this.#sqlState = error.sqlState
-    this.#keep(bytes, start, end)
+    this.#forward(bytes, start, end)
   }
 
   #endAnswer(status: number | undefined): void {
@@ -302,12 +305,12 @@
     this.#status = status
     this.#isAnswered = true
     this.flush()
-    if (this.#asksPosition) this.#phase = 'question'
+    if (this.#queriesPosition) this.#phase = 'positionQuery'
     this.#events.answered(this)
-    if (!this.#asksPosition) this.#end()
+    if (!this.#queriesPosition) this.#end()
   }
 
-  #readQuestion(type: number, bytes: Buffer, start: number, end: number): void {
+  #readPositionAnswer(type: number, bytes: Buffer, start: number, end: number): void {
     if (type === ServerMessage.readyForQuery) {
       this.#end()
       return
@@ -325,12 +328,12 @@
       this.#rowPieces.length === 1 && only !== undefined ? only : Buffer.concat(this.#rowPieces)
     this.#rowPieces = []
     const report = readPositionReport(readDataRow(row, 0, row.length))
-    // A replica's word is no position of this write: the server stopped leading before it answered.
+    // A position reported by a replica does not cover this write: the server was demoted before answering.
     this.#position = report?.role === 'primary' ? report.position : null
   }
 
   #end(): void {
-    this.#phase = 'over'
+    this.#phase = 'ended'
     this.#events.ended(this, {
       status: this.#status,
       position: this.#position,
@@ -338,8 +341,8 @@
       commands: this.#commands,
       sessionTags: this.#sessionTags,
       sqlState: this.#sqlState,
-      unprepared: this.slots.parses,
-      closesSkipped: this.slots.closes.includes('swallow'),
+      failedParses: this.slots.parses,
+      closesSkipped: this.slots.closes.includes('discard'),
     })
   }
 }
--- a/packages/proxy/src/callerTransactions.ts
+++ b/packages/proxy/src/callerTransactions.ts
@@ -1,25 +1,25 @@
-/** Which caller's transaction is open on which connection, and whose was lost with its connection. */
+/** Tracks callers' open transactions by connection, and transactions lost with their connection. */
 import type { ClassName } from '@nutmegcourse/shared'
 import type { BackendConnection } from './backendConnection.js'
 import type { CallerConnection } from './callerConnection.js'
 
-/** How a request runs; the statements of a transaction run as its first one did. */
-export interface RunManner {
+/** How a request runs. All requests of a transaction use the mode of its first one. */
+export interface RunMode {
   readonly readOnly: boolean
   readonly holdAnswer: boolean
 }
 
-/** Where a caller stands between its requests. */
+/** Transaction state of a caller between its requests. */
 export type CallerTransaction =
   | { readonly kind: 'none' }
   | {
       readonly kind: 'pinned'
       readonly connection: BackendConnection
-      readonly manner: RunManner
+      readonly mode: RunMode
       readonly class: ClassName | null
     }
-  /** Its connection is gone; `told` once the caller has had an error for it. */
-  | { readonly kind: 'lost'; readonly told: boolean }
+  /** Its connection was closed; `isReported` once the caller has received an error for it. */
+  | { readonly kind: 'lost'; readonly isReported: boolean }
 
 export type PinnedTransaction = Extract<CallerTransaction, { kind: 'pinned' }>
 
@@ -27,41 +27,41 @@
 
 export class CallerTransactions {
   readonly #byCaller = new Map<CallerConnection, CallerTransaction>()
-  readonly #holders = new Map<BackendConnection, CallerConnection>()
+  readonly #callersByConnection = new Map<BackendConnection, CallerConnection>()
 
-  /** How many are open. */
+  /** Number of open transactions. */
   get openCount(): number {
-    return this.#holders.size
+    return this.#callersByConnection.size
   }
 
-  of(caller: CallerConnection): CallerTransaction {
+  get(caller: CallerConnection): CallerTransaction {
     return this.#byCaller.get(caller) ?? NO_TRANSACTION
   }
 
   pin(caller: CallerConnection, transaction: Omit<PinnedTransaction, 'kind'>): void {
     this.#byCaller.set(caller, { kind: 'pinned', ...transaction })
-    this.#holders.set(transaction.connection, caller)
+    this.#callersByConnection.set(transaction.connection, caller)
   }
 
-  /** It is over, and its connection is nobody's. */
+  /** Ends the caller's transaction and unpins its connection. */
   end(caller: CallerConnection): void {
-    this.#release(caller)
+    this.#unpin(caller)
     this.#byCaller.delete(caller)
   }
 
-  lose(caller: CallerConnection, told: boolean): void {
-    this.#release(caller)
-    this.#byCaller.set(caller, { kind: 'lost', told })
+  markLost(caller: CallerConnection, isReported: boolean): void {
+    this.#unpin(caller)
+    this.#byCaller.set(caller, { kind: 'lost', isReported: isReported })
   }
 
-  /** A connection is gone; a transaction on it is lost. */
-  connectionGone(connection: BackendConnection): void {
-    const holder = this.#holders.get(connection)
-    if (holder !== undefined) this.lose(holder, false)
+  /** Marks a transaction open on a closed connection as lost. */
+  handleConnectionClosed(connection: BackendConnection): void {
+    const caller = this.#callersByConnection.get(connection)
+    if (caller !== undefined) this.markLost(caller, false)
   }
 
-  #release(caller: CallerConnection): void {
-    const known = this.#byCaller.get(caller)
-    if (known?.kind === 'pinned') this.#holders.delete(known.connection)
+  #unpin(caller: CallerConnection): void {
+    const transaction = this.#byCaller.get(caller)
+    if (transaction?.kind === 'pinned') this.#callersByConnection.delete(transaction.connection)
   }
 }
--- a/packages/proxy/src/cancelSender.ts
+++ b/packages/proxy/src/cancelSender.ts
@@ -1,30 +1,33 @@
-/** Sends a CancelRequest to a backend server, over a connection of its own as the protocol wants it. */
+/** Sends a CancelRequest to a backend server over a separate connection, as the protocol requires. */
 import { connect } from 'node:net'
 import { cancelRequest, type ListedBackendServer } from '@nutmegcourse/protocol'
 
-export interface ServerKey {
+export interface BackendKey {
   readonly processId: number
   readonly secret: number
 }
 
-/** Resolves with whether the server has taken it, which shows by the server closing the connection. */
+/**
+ * Resolves to whether the cancel can no longer take effect: the server closed the connection after
+ * processing it, or it was never sent.
+ */
 export function sendCancel(
   server: ListedBackendServer,
-  key: ServerKey,
+  key: BackendKey,
   timeoutMilliseconds: number,
 ): Promise<boolean> {
   return new Promise(resolve => {
     const socket = connect({ host: server.address, port: server.port })
-    let taken = false
+    let isAccepted = false
     socket.setTimeout(timeoutMilliseconds, () => socket.destroy())
     socket.on('connect', () => socket.write(cancelRequest(key.processId, key.secret)))
     socket.on('error', () => undefined)
     socket.on('end', () => {
-      taken = true
+      isAccepted = true
     })
     socket.resume()
     socket.once('close', () => {
-      resolve(taken || socket.bytesWritten === 0)
+      resolve(isAccepted || socket.bytesWritten === 0)
     })
   })
 }
--- a/packages/proxy/src/coreDriver.ts
+++ b/packages/proxy/src/coreDriver.ts
@@ -1,6 +1,6 @@
 /**
- * Carries messages to the decision core one at a time and has its effects carried out in order.
- * One timer serves every deadline of the core: no request has a timer of its own.
+ * Passes messages to the decision core one at a time and executes its effects in order. A single timer
+ * serves all deadlines of the core, instead of one timer per request.
  */
 import type { Clock, Milliseconds } from '@nutmegcourse/shared'
 import type { ProxyEffect, ProxyMessage } from '@nutmegcourse/state'
@@ -8,20 +8,20 @@
 
 export type EffectRunner = (effect: ProxyEffect) => void
 
-/** An empty wake slot. */
-const NEVER = Number.POSITIVE_INFINITY
-/** Timers of Node fire up to a millisecond early; a tick before its time would be lost work. */
+/** Due time while no timer is armed. */
+const NOT_SCHEDULED = Number.POSITIVE_INFINITY
+/** Node.js timers fire up to a millisecond early, and a tick before its due time would have no effect. */
 const TIMER_SLACK_MILLISECONDS = 1
 
 export class CoreDriver {
   readonly #core: DecisionCore
   readonly #clock: Clock
   readonly #runEffect: EffectRunner
-  #waiting: ProxyMessage[] = []
-  #afterwards: (() => void)[] = []
-  #working = false
+  #queue: ProxyMessage[] = []
+  #deferredActions: (() => void)[] = []
+  #isProcessing = false
   #timer: NodeJS.Timeout | null = null
-  #armedFor = NEVER
+  #timerDueAt = NOT_SCHEDULED
 
   constructor(core: DecisionCore, clock: Clock, runEffect: EffectRunner) {
     this.#core = core
@@ -33,57 +33,57 @@
     return this.#clock.now()
   }
 
-  /** Messages sent while an effect is carried out wait until the effects before them are done. */
+  /** Queues messages sent during the execution of an effect until the preceding effects are done. */
   send(message: ProxyMessage): void {
-    this.#waiting.push(message)
-    if (!this.#working) this.#work()
+    this.#queue.push(message)
+    if (!this.#isProcessing) this.#process()
   }
 
-  /** Runs once every effect of the messages at hand is carried out. */
+  /** Runs an action after all effects of the queued messages are executed. */
   afterEffects(action: () => void): void {
-    this.#afterwards.push(action)
-    if (!this.#working) this.#work()
+    this.#deferredActions.push(action)
+    if (!this.#isProcessing) this.#process()
   }
 
   stop(): void {
     if (this.#timer !== null) clearTimeout(this.#timer)
     this.#timer = null
-    this.#armedFor = NEVER
+    this.#timerDueAt = NOT_SCHEDULED
   }
 
-  #work(): void {
-    this.#working = true
+  #process(): void {
+    this.#isProcessing = true
     try {
-      while (this.#waiting.length > 0 || this.#afterwards.length > 0) this.#workOnce()
+      while (this.#queue.length > 0 || this.#deferredActions.length > 0) this.#processQueue()
     } finally {
-      this.#working = false
+      this.#isProcessing = false
     }
     this.#armTimer()
   }
 
-  #workOnce(): void {
-    const messages = this.#waiting
-    this.#waiting = []
+  #processQueue(): void {
+    const messages = this.#queue
+    this.#queue = []
     for (const message of messages) {
       for (const effect of this.#core.handle(message, this.#clock.now())) this.#runEffect(effect)
     }
-    if (this.#waiting.length > 0) return
-    const actions = this.#afterwards
-    this.#afterwards = []
+    if (this.#queue.length > 0) return
+    const actions = this.#deferredActions
+    this.#deferredActions = []
     for (const action of actions) action()
   }
 
-  /** An earlier timer than needed stays armed: a superfluous tick costs less than a timer a request. */
+  /** Keeps a timer that is due earlier than needed: an extra tick costs less than a timer per request. */
   #armTimer(): void {
     const now = this.#clock.now()
     const wake = this.#core.nextWake(now)
-    if (wake === null || wake >= this.#armedFor) return
+    if (wake === null || wake >= this.#timerDueAt) return
     if (this.#timer !== null) clearTimeout(this.#timer)
-    this.#armedFor = wake
+    this.#timerDueAt = wake
     const wait = Math.max(0, Math.ceil(wake - now)) + TIMER_SLACK_MILLISECONDS
     this.#timer = setTimeout(() => {
       this.#timer = null
-      this.#armedFor = NEVER
+      this.#timerDueAt = NOT_SCHEDULED
       this.send({ kind: 'tick' })
     }, wait)
   }
--- a/packages/proxy/src/main.ts
+++ b/packages/proxy/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `nutmegcourse-proxy`: the data path of an entry host. Prints one line of JSON when it listens. */
+/** `nutmegcourse-proxy`: the data path of an entry host. Prints one line of JSON once it listens. */
 import { parseArgs } from 'node:util'
 import { formatSettingsError, proxySettingsSchema, readYamlFile } from '@nutmegcourse/settings'
 import { ProxyProcess } from './proxyProcess.js'
@@ -9,13 +9,13 @@
 
 const HELP = `nutmegcourse-proxy --settings FILE
 
-Serves callers of PostgreSQL databases by the fleet's targets. See docs/SETTINGS.md.
+Serves callers of PostgreSQL databases according to the fleet's targets. See docs/SETTINGS.md.
 
   --settings FILE  settings of this process, as YAML
-  --help           this text
+  --help           show this help
 
 Exit codes: 0 stopped gracefully, 1 stopped with requests cut at the drain timeout,
-2 settings or arguments that can not be used.`
+2 invalid settings or arguments.`
 
 async function main(): Promise<void> {
   const { values } = parseArgs({
@@ -26,12 +26,12 @@
     return
   }
   if (values.settings === undefined) {
-    leave(HELP)
+    exitWithUsageError(HELP)
     return
   }
   const settings = await readYamlFile(values.settings, proxySettingsSchema)
   if (settings.isErr()) {
-    leave(formatSettingsError(settings.error))
+    exitWithUsageError(formatSettingsError(settings.error))
     return
   }
   const proxy = new ProxyProcess(settings.value)
@@ -40,12 +40,12 @@
   const stop = (): void => {
     void proxy.stop().then(graceful => process.exit(graceful ? 0 : EXIT_CUT))
   }
-  // Taken each time: a signal without a listener ends the process at once, under what still runs.
+  // Not `once`: a second signal without a listener would terminate the process with requests in flight.
   process.on('SIGTERM', stop)
   process.on('SIGINT', stop)
 }
 
-function leave(text: string): void {
+function exitWithUsageError(text: string): void {
   console.error(text)
   process.exitCode = EXIT_USAGE
 }
--- a/packages/proxy/src/requestSteps.ts
+++ b/packages/proxy/src/requestSteps.ts
@@ -1,4 +1,4 @@
-/** One extended-protocol message of a request, with its statement looked up as the caller meant it. */
+/** Extended-protocol messages of a request, with statement names resolved per caller and connection. */
 import {
   CallerMessage,
   FRAME_HEADER_BYTES,
@@ -11,7 +11,7 @@
 import type { CallerStatements, PreparedStatement } from './statementCatalog.js'
 
 export type RequestStep =
-  /** Goes out as it came. */
+  /** Sent unchanged. */
   | { readonly kind: 'asIs'; readonly frame: Buffer }
   | {
       readonly kind: 'parse'
@@ -19,7 +19,7 @@
       readonly statement: PreparedStatement
       readonly frame: Buffer
     }
-  /** Bind or Describe of a statement; null when the caller never prepared it. */
+  /** Bind or Describe of a statement; `statement` is null if the caller has not prepared it. */
   | {
       readonly kind: 'use'
       readonly statement: PreparedStatement | null
@@ -29,18 +29,18 @@
     }
   | { readonly kind: 'closeStatement' }
 
-/** What a ParseComplete of the server is to the caller. */
+/** An expected ParseComplete of the server, which is not forwarded if `hidden`. */
 export interface ParseSlot {
-  readonly swallowed: boolean
+  readonly hidden: boolean
   readonly statement: PreparedStatement
-  /** The caller's name when the caller asked for it; null when the proxy did. */
+  /** The caller's name of the statement; null if the proxy sent the Parse by itself. */
   readonly callerName: string | null
 }
 
-/** What a CloseComplete of the server is to the caller. */
-export type CloseSlot = 'pass' | 'swallow' | 'asParseComplete'
+/** How an expected CloseComplete of the server is passed to the caller. */
+export type CloseSlot = 'forward' | 'discard' | 'asParseComplete'
 
-/** Answers that are still to come on one connection, in the server's order. */
+/** Expected answers on one connection, in the server's order. */
 export interface AnswerSlots {
   readonly parses: ParseSlot[]
   readonly closes: CloseSlot[]
@@ -68,9 +68,9 @@
   }
 }
 
-const LETTER_STATEMENT = 0x53
+const STATEMENT_KIND = 0x53
 
-const targetsStatement = (frame: Buffer): boolean => frame[FRAME_HEADER_BYTES] === LETTER_STATEMENT
+const targetsStatement = (frame: Buffer): boolean => frame[FRAME_HEADER_BYTES] === STATEMENT_KIND
 
 function asIsWithText(frame: Buffer, start: number): RequestStep | null {
   return readText(frame, start) === null ? null : { kind: 'asIs', frame }
@@ -98,31 +98,31 @@
   const name = readText(frame, FRAME_HEADER_BYTES + 1)
   if (name === null) return null
   if (!targetsStatement(frame)) return { kind: 'asIs', frame }
-  statements.forget(name.text)
+  statements.remove(name.text)
   return { kind: 'closeStatement' }
 }
 
-/** A portal that never exists: closing it always succeeds and changes nothing. */
-const CLOSE_NOTHING = closeMessage('portal', 'nutmegcourse_nothing')
-/** No statement of the proxy has such a name, so the server answers 26000 as the caller expects. */
+/** Closes a portal that never exists, which always succeeds and changes nothing. */
+const CLOSE_MISSING_PORTAL = closeMessage('portal', 'nutmegcourse_nothing')
+/** The proxy never uses this name, so the server answers with the expected SQLSTATE 26000. */
 const UNKNOWN_STATEMENT = Buffer.from('unknown statement\0', 'latin1')
 
-/** Rewrites the steps of one request for one connection. Lives as long as the request runs on it. */
+/** Encodes the steps of one request for the connection that it runs on. */
 export class StepEncoder {
-  readonly #held: ConnectionStatements
+  readonly #statements: ConnectionStatements
   readonly #slots: AnswerSlots
-  /** The unnamed statement that the connection has by now, as far as this request knows. */
+  /** The connection's unnamed statement, if this request has prepared it. */
   #unnamed: PreparedStatement | null = null
 
-  constructor(held: ConnectionStatements, slots: AnswerSlots) {
-    this.#held = held
+  constructor(statements: ConnectionStatements, slots: AnswerSlots) {
+    this.#statements = statements
     this.#slots = slots
   }
 
   encode(step: RequestStep, output: Buffer[]): void {
     switch (step.kind) {
       case 'asIs':
-        this.#noteClose(step.frame)
+        this.#expectClose(step.frame)
         output.push(step.frame)
         return
       case 'parse':
@@ -132,32 +132,32 @@
         this.#encodeUse(step, output)
         return
       case 'closeStatement':
-        // The connection keeps the statement for others: the caller's name for it is gone already.
-        this.#slots.closes.push('pass')
-        output.push(CLOSE_NOTHING)
+        // The connection keeps the statement for other callers; the caller's name is already removed.
+        this.#slots.closes.push('forward')
+        output.push(CLOSE_MISSING_PORTAL)
         return
       default:
         assertNever(step)
     }
   }
 
-  #noteClose(frame: Buffer): void {
-    if (frame[0] === CallerMessage.close) this.#slots.closes.push('pass')
+  #expectClose(frame: Buffer): void {
+    if (frame[0] === CallerMessage.close) this.#slots.closes.push('forward')
   }
 
   #encodeParse(step: Extract<RequestStep, { kind: 'parse' }>, output: Buffer[]): void {
     const { statement } = step
-    const slot: ParseSlot = { swallowed: false, statement, callerName: step.name }
+    const slot: ParseSlot = { hidden: false, statement, callerName: step.name }
     if (statement.serverName === '') {
       this.#unnamed = statement
       this.#slots.parses.push(slot)
       output.push(step.frame)
       return
     }
-    if (this.#held.holds(statement.serverName)) {
-      // Its answer has the right place among the others and becomes the ParseComplete.
+    if (this.#statements.touch(statement.serverName)) {
+      // The CloseComplete arrives in the right position and is converted to a ParseComplete.
       this.#slots.closes.push('asParseComplete')
-      output.push(CLOSE_NOTHING)
+      output.push(CLOSE_MISSING_PORTAL)
       return
     }
     this.#prepare(slot, output)
@@ -166,7 +166,7 @@
   #encodeUse(step: Extract<RequestStep, { kind: 'use' }>, output: Buffer[]): void {
     const { statement, frame } = step
     if (statement === null) {
-      output.push(rename(step, UNKNOWN_STATEMENT))
+      output.push(withStatementName(step, UNKNOWN_STATEMENT))
       return
     }
     if (statement.serverName === '') {
@@ -174,32 +174,32 @@
       output.push(frame)
       return
     }
-    if (!this.#held.holds(statement.serverName)) {
-      this.#prepare({ swallowed: true, statement, callerName: null }, output)
+    if (!this.#statements.touch(statement.serverName)) {
+      this.#prepare({ hidden: true, statement, callerName: null }, output)
     }
-    output.push(rename(step, Buffer.from(`${statement.serverName}\0`, 'latin1')))
+    output.push(withStatementName(step, Buffer.from(`${statement.serverName}\0`, 'latin1')))
   }
 
   #prepareUnnamed(statement: PreparedStatement, output: Buffer[]): void {
     this.#unnamed = statement
-    this.#slots.parses.push({ swallowed: true, statement, callerName: null })
+    this.#slots.parses.push({ hidden: true, statement, callerName: null })
     output.push(parseMessage('', statement.body))
   }
 
   #prepare(slot: ParseSlot, output: Buffer[]): void {
     const { serverName, body } = slot.statement
-    this.#held.add(serverName)
-    for (const surplus of this.#held.takeSurplus()) {
-      this.#slots.closes.push('swallow')
-      output.push(closeMessage('statement', surplus))
+    this.#statements.add(serverName)
+    for (const evicted of this.#statements.evictOverLimit()) {
+      this.#slots.closes.push('discard')
+      output.push(closeMessage('statement', evicted))
     }
     this.#slots.parses.push(slot)
     output.push(parseMessage(serverName, body))
   }
 }
 
-/** The frame with another statement name, and its length set right. */
-function rename(step: Extract<RequestStep, { kind: 'use' }>, name: Buffer): Buffer {
+/** Returns the frame with another statement name and the adjusted length. */
+function withStatementName(step: Extract<RequestStep, { kind: 'use' }>, name: Buffer): Buffer {
   const { frame, nameStart, nameEnd } = step
   const renamed = Buffer.allocUnsafe(frame.length - (nameEnd - nameStart) + name.length)
   frame.copy(renamed, 0, 0, nameStart)
--- a/packages/proxy/src/sessionState.ts
+++ b/packages/proxy/src/sessionState.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps pooled connections and callers' settings apart: what a request left behind on its connection is
- * either remembered as its caller's, to be repeated wherever that caller runs next, or cleaned up.
+ * Isolates callers' session state on pooled connections: a change made by a request is either recorded
+ * for its caller, and applied to the connections that the caller uses next, or discarded.
  */
 import { assertNever, type Refusal } from '@nutmegcourse/shared'
 import type { BackendConnection } from './backendConnection.js'
@@ -8,16 +8,16 @@
 import type { CallerRequest } from './callerRequest.js'
 import type { CallerSettings } from './callerSettings.js'
 import type { CallerIdentity } from './callerStartup.js'
-import { isLocalSetting } from './transactionWords.js'
+import { isLocalSetting } from './transactionCommands.js'
 
-export interface SettingsHolder {
+export interface SettingsOwner {
   readonly settings: CallerSettings
   readonly identity: CallerIdentity | null
 }
 
-/** Takes over the settings of the startup packet once they have run; a refusal when they did not. */
-export function noteStartupSettings(
-  caller: SettingsHolder,
+/** Records the settings of the startup packet after they ran; returns a refusal if they failed. */
+export function recordStartupSettings(
+  caller: SettingsOwner,
   connection: BackendConnection,
   outcome: RunOutcome,
 ): Refusal | null {
@@ -26,14 +26,15 @@
     const detail = `the backend server refuses the settings at startup (${outcome.sqlState ?? ''})`
     return { reason: 'malformed', detail }
   }
-  const kept = caller.identity?.settings.every(statement => caller.settings.add(statement)) ?? true
-  connection.setup.adopt(caller.settings)
-  return kept ? null : { reason: 'unsupported', detail: 'too many settings at startup' }
+  const isWithinLimit =
+    caller.identity?.settings.every(statement => caller.settings.add(statement)) ?? true
+  connection.setup.recordSettings(caller.settings)
+  return isWithinLimit ? null : { reason: 'unsupported', detail: 'too many settings at startup' }
 }
 
-/** False when the caller has made more settings than are remembered. */
-export function noteSessionState(
-  caller: SettingsHolder,
+/** Returns false if the caller has more settings than the limit. */
+export function recordSessionChanges(
+  caller: SettingsOwner,
   connection: BackendConnection,
   request: CallerRequest,
   outcome: RunOutcome,
@@ -41,13 +42,13 @@
 ): boolean {
   if (outcome.sessionTags.length === 0) return true
   return outcome.sessionTags.every(tag =>
-    noteTag(tag, caller, connection, request, outcome, insideTransaction),
+    recordSessionTag(tag, caller, connection, request, outcome, insideTransaction),
   )
 }
 
-function noteTag(
+function recordSessionTag(
   tag: SessionTag,
-  caller: SettingsHolder,
+  caller: SettingsOwner,
   connection: BackendConnection,
   request: CallerRequest,
   outcome: RunOutcome,
@@ -56,23 +57,23 @@
   switch (tag) {
     case 'SET':
     case 'RESET': {
-      const text = outcome.commands === 1 ? request.onlyText : null
+      const text = outcome.commands === 1 ? request.singleStatementText : null
       if (text !== null && isLocalSetting(text)) return true
-      // Inside a transaction it may yet be rolled back, and in a script its text is not known.
+      // Inside a transaction it may be rolled back, and among several commands its text is unknown.
       if (text === null || insideTransaction) {
         connection.setup.markDirty()
         return true
       }
-      const kept = caller.settings.add(text)
-      connection.setup.adopt(caller.settings)
-      return kept
+      const isWithinLimit = caller.settings.add(text)
+      connection.setup.recordSettings(caller.settings)
+      return isWithinLimit
     }
     case 'DISCARD ALL':
       caller.settings.clear()
-      connection.setup.noteDiscarded()
+      connection.setup.recordDiscardAll()
       return true
     case 'DEALLOCATE ALL':
-      connection.setup.noteDeallocated()
+      connection.setup.recordDeallocateAll()
       return true
     case 'DISCARD':
     case 'DEALLOCATE':
--- a/packages/proxy/src/statementCatalog.ts
+++ b/packages/proxy/src/statementCatalog.ts
@@ -1,26 +1,26 @@
 /**
- * Named prepared statements over pooled connections. Callers name statements as they like; the proxy
- * prepares each text once a connection, under a name of its own that no other text ever has.
+ * Named prepared statements over pooled connections. The proxy prepares each distinct text once per
+ * connection, under a generated name that is never reused for another text.
  */
 import { readStatementComment, type StatementComment } from '@nutmegcourse/protocol'
 
 export interface PreparedStatement {
-  /** The name on backend servers; empty for a caller's unnamed statement. */
+  /** The generated name on backend servers; empty for a caller's unnamed statement. */
   readonly serverName: string
-  /** What follows the name in Parse: the text, and the parameter types. */
+  /** The part of Parse after the name: the text and the parameter types. */
   readonly body: Buffer
   readonly comment: StatementComment
 }
 
 interface CatalogEntry {
   readonly statement: PreparedStatement
-  holders: number
+  references: number
 }
 
 const UNNAMED = ''
 const SERVER_NAME_PREFIX = 'nutmegcourse_'
 
-/** One for all callers of a proxy, so that equal texts are prepared and kept once. */
+/** Shared by all callers of a proxy, so that equal texts are stored and prepared once. */
 export class StatementCatalog {
   readonly #entries = new Map<string, CatalogEntry>()
   #lastNumber = 0
@@ -31,28 +31,28 @@
 
   acquire(body: Buffer): PreparedStatement {
     const key = body.toString('latin1')
-    const known = this.#entries.get(key)
-    if (known !== undefined) {
-      known.holders += 1
-      return known.statement
+    const existing = this.#entries.get(key)
+    if (existing !== undefined) {
+      existing.references += 1
+      return existing.statement
     }
     this.#lastNumber += 1
     const statement = describeStatement(`${SERVER_NAME_PREFIX}${this.#lastNumber}`, body)
-    this.#entries.set(key, { statement, holders: 1 })
+    this.#entries.set(key, { statement, references: 1 })
     return statement
   }
 
-  /** A text that no caller holds is forgotten; its name is never given to another. */
+  /** Removes a text without remaining references. Its name is never reused. */
   release(statement: PreparedStatement): void {
     const key = statement.body.toString('latin1')
     const entry = this.#entries.get(key)
     if (entry?.statement !== statement) return
-    entry.holders -= 1
-    if (entry.holders === 0) this.#entries.delete(key)
+    entry.references -= 1
+    if (entry.references === 0) this.#entries.delete(key)
   }
 }
 
-/** Copies the body, so that a small text does not keep a whole socket chunk alive. */
+/** Copies the body, so that a small text does not keep a whole socket chunk in memory. */
 export function describeStatement(serverName: string, body: Buffer): PreparedStatement {
   const textEnd = body.indexOf(0)
   return {
@@ -62,7 +62,7 @@
   }
 }
 
-/** The statements of one caller, under the caller's names. */
+/** The prepared statements of one caller by the caller's names. */
 export class CallerStatements {
   readonly #catalog: StatementCatalog
   #named: Map<string, PreparedStatement> | null = null
@@ -82,13 +82,13 @@
       return this.#unnamed
     }
     const statement = this.#catalog.acquire(body)
-    this.forget(name)
+    this.remove(name)
     this.#named ??= new Map()
     this.#named.set(name, statement)
     return statement
   }
 
-  forget(name: string): void {
+  remove(name: string): void {
     if (name === UNNAMED) {
       this.#unnamed = null
       return
@@ -99,9 +99,9 @@
     this.#catalog.release(statement)
   }
 
-  /** Undoes a definition that the backend server refused, unless a later one took the name. */
-  forgetIf(name: string, statement: PreparedStatement): void {
-    if (this.find(name) === statement) this.forget(name)
+  /** Removes a definition that the backend server refused, unless the name was redefined since. */
+  removeDefinition(name: string, statement: PreparedStatement): void {
+    if (this.find(name) === statement) this.remove(name)
   }
 
   clear(): void {
