--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -11,7 +11,7 @@
   AgentUsageResult,
   ListedHost,
   Member,
-  NewsItem,
+  GossipItem,
   ProxyReport,
 } from '@nutmegcourse/protocol'
 import type { AgentSettings } from '@nutmegcourse/settings'
@@ -254,7 +254,7 @@
     this.#publication.request()
   }
 
-  #itemChanged(item: NewsItem): void {
+  #itemChanged(item: GossipItem): void {
     switch (item.kind) {
       case 'targets':
         this.#log.info('targets in force', { version: item.document.version })
--- a/packages/agent/src/fleetTask.ts
+++ b/packages/agent/src/fleetTask.ts
@@ -5,24 +5,24 @@
 import {
   ConfigurationCore,
   MembershipCore,
-  NewsCore,
+  GossipCore,
   type ConfigurationEffect,
   type ConfigurationMessage,
   type MembershipEffect,
   type MembershipMessage,
-  type NewsEffect,
-  type NewsMessage,
+  type GossipEffect,
+  type GossipMessage,
   type WatcherOpinion,
 } from '@nutmegcourse/coordination'
 import type {
   Member,
-  NewsItem,
+  GossipItem,
   PeerCompareParams,
   PeerCompareResult,
   PeerFetchParams,
   PeerFetchResult,
   PeerHello,
-  PeerNewsParams,
+  PeerGossipParams,
   PeerPingParams,
   PeerPingResult,
   PeerProbeParams,
@@ -46,7 +46,7 @@
 
 export interface FleetTaskListener {
   /** Something newer is known. */
-  itemChanged(item: NewsItem): void
+  itemChanged(item: GossipItem): void
   /** Other hosts live, or others are listed. */
   membershipChanged(change: string, host: EntryHostId): void
   /** This host can confirm its targets again, or no longer. */
@@ -67,7 +67,7 @@
 }
 
 export class FleetTask {
-  readonly news = new NewsCore()
+  readonly news = new GossipCore()
   readonly configuration = new ConfigurationCore()
   readonly membership: MembershipCore
   readonly network: PeerNetwork
@@ -84,7 +84,7 @@
       clock: parts.clock,
       hello: () => this.#hello(),
       ping: () => this.#ping(),
-      placeOf: host => this.membership.placeOf(host),
+      placeOf: host => this.membership.endpointOf(host),
       peerHandlers: peer => this.#peerHandlers(peer),
       listener: {
         linked: peer => {
@@ -138,7 +138,7 @@
     this.#updateLinks()
   }
 
-  learn(item: NewsItem): void {
+  learn(item: GossipItem): void {
     this.#news({ kind: 'learned', item })
   }
 
@@ -152,7 +152,7 @@
     for (const effect of effects) this.#carryOutConfiguration(effect)
   }
 
-  #news(message: NewsMessage): void {
+  #news(message: GossipMessage): void {
     for (const effect of this.news.handle(message)) this.#carryOutNews(effect)
   }
 
@@ -199,7 +199,7 @@
     }
   }
 
-  #carryOutNews(effect: NewsEffect): void {
+  #carryOutNews(effect: GossipEffect): void {
     switch (effect.kind) {
       case 'changed':
         this.#itemChanged(effect.item)
@@ -218,7 +218,7 @@
     }
   }
 
-  #itemChanged(item: NewsItem): void {
+  #itemChanged(item: GossipItem): void {
     if (item.kind === 'targets') {
       this.tellConfiguration({ kind: 'learned', document: item.document })
     }
@@ -228,7 +228,7 @@
 
   #heartbeat(): void {
     this.#intervals += 1
-    if (this.#intervals % this.membership.heartbeatEvery === 0) this.network.heartbeat()
+    if (this.#intervals % this.membership.heartbeatIntervalMultiple === 0) this.network.heartbeat()
     else this.network.dialMissing()
   }
 
@@ -236,8 +236,8 @@
     this.network.want([...new Set([...this.#neighbours, ...this.#partners])])
   }
 
-  async #sendBatch(peer: EntryHostId, items: readonly NewsItem[]): Promise<void> {
-    const params: PeerNewsParams = { items }
+  async #sendBatch(peer: EntryHostId, items: readonly GossipItem[]): Promise<void> {
+    const params: PeerGossipParams = { items }
     const answer = await this.network.request(peer, 'peer.news', params, NEWS_TIMEOUT_MILLISECONDS)
     if (answer.isOk()) this.#news({ kind: 'batchTaken', peer })
     // What was in the batch is found again by the comparison that a fresh link begins with.
@@ -322,15 +322,15 @@
       'peer.news': params => {
         const peer = peerOf()
         if (peer !== null) {
-          this.#news({ kind: 'batchReceived', peer, items: (params as PeerNewsParams).items })
+          this.#news({ kind: 'batchReceived', peer, items: (params as PeerGossipParams).items })
         }
         return null
       },
       'peer.compare': (params): PeerCompareResult => ({
-        versions: this.news.versionsWhereDiffering((params as PeerCompareParams).buckets),
+        versions: this.news.differingVersions((params as PeerCompareParams).buckets),
       }),
       'peer.fetch': (params): PeerFetchResult => ({
-        items: this.news.pick((params as PeerFetchParams).keys),
+        items: this.news.itemsOf((params as PeerFetchParams).keys),
       }),
       'peer.probe': async (params): Promise<PeerProbeResult> => ({
         reached: await this.network.reaches(
--- a/packages/agent/src/storeFollower.ts
+++ b/packages/agent/src/storeFollower.ts
@@ -4,7 +4,7 @@
   GROUP_KEY_PREFIX,
   TARGETS_KEY,
   readGroupRecord,
-  type NewsItem,
+  type GossipItem,
   type StoredValue,
   type VersionedTargets,
 } from '@nutmegcourse/protocol'
@@ -14,7 +14,7 @@
 import { StoreWatch } from './storeWatch.js'
 
 export interface StoreFollowerListener {
-  learned(item: NewsItem): void
+  learned(item: GossipItem): void
   /** The store's targets as of `askedAt`. */
   targetsRead(document: VersionedTargets | null, revision: number, askedAt: Milliseconds): void
   /** A value that no agent can use; operators see it in the log. */
--- a/packages/agent/src/watchBoard.ts
+++ b/packages/agent/src/watchBoard.ts
@@ -3,7 +3,7 @@
   WatcherPlan,
   type Watcher,
   type WatcherOpinion,
-  type HostPlace,
+  type HostLocation,
 } from '@nutmegcourse/coordination'
 import type { GroupRecord, ListedBackendServer } from '@nutmegcourse/protocol'
 import type { DatabaseId, EntryHostId } from '@nutmegcourse/shared'
@@ -57,7 +57,7 @@
 
   /** Works out anew who watches what. */
   plan(
-    hosts: readonly HostPlace[],
+    hosts: readonly HostLocation[],
     databases: ReadonlyMap<DatabaseId, readonly ListedBackendServer[]>,
   ): void {
     const assignments = this.#assignments(new WatcherPlan(hosts), databases)
--- a/packages/bench/src/deployment/platform.ts
+++ b/packages/bench/src/deployment/platform.ts
@@ -10,7 +10,7 @@
   type Targets,
   type VersionedTargets,
 } from '@nutmegcourse/protocol'
-import { ORIGIN, term, type DatabaseId } from '@nutmegcourse/shared'
+import { LOG_START, term, type DatabaseId } from '@nutmegcourse/shared'
 import type { HostListChange, StoreFaults } from '@nutmegcourse/stand-ins'
 import { adminCall } from './adminCall.js'
 import type { DeploymentPlan, PlannedDatabase } from './plan.js'
@@ -133,6 +133,6 @@
     phase: { kind: 'stable' },
     coordinator: null,
     attempt: null,
-    termStarts: [{ term: FIRST_TERM, primary: primary.id, startsAfter: ORIGIN }],
+    termStarts: [{ term: FIRST_TERM, primary: primary.id, startsAfter: LOG_START }],
   }
 }
--- a/packages/bench/src/fleet/agentProcess.ts
+++ b/packages/bench/src/fleet/agentProcess.ts
@@ -4,7 +4,7 @@
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { fileURLToPath } from 'node:url'
-import type { HostPlace } from '@nutmegcourse/coordination'
+import type { HostLocation } from '@nutmegcourse/coordination'
 import type { AgentUsageResult } from '@nutmegcourse/protocol'
 import { JsonRpcConnection, openJsonRpc } from '@nutmegcourse/transport'
 
@@ -36,7 +36,7 @@
   }
 
   static async start(
-    place: HostPlace,
+    place: HostLocation,
     storePort: number,
     hostListPort: number,
   ): Promise<AgentProcess> {
--- a/packages/bench/src/fleet/fakePeers.ts
+++ b/packages/bench/src/fleet/fakePeers.ts
@@ -5,17 +5,17 @@
  */
 import type { Server, Socket } from 'node:net'
 import {
-  NewsCore,
+  GossipCore,
   chooseNeighbours,
-  type HostPlace,
+  type HostLocation,
   type WatcherOpinion,
 } from '@nutmegcourse/coordination'
 import type {
-  NewsItem,
+  GossipItem,
   PeerCompareParams,
   PeerFetchParams,
   PeerHello,
-  PeerNewsParams,
+  PeerGossipParams,
 } from '@nutmegcourse/protocol'
 import { incarnation, type EntryHostId, type RandomSource } from '@nutmegcourse/shared'
 import { JsonRpcConnection, listen, openJsonRpc, type RpcHandlers } from '@nutmegcourse/transport'
@@ -33,8 +33,8 @@
 const DUPLICATE_SHARE = 0.5
 
 export class FakePeers {
-  readonly news = new NewsCore()
-  readonly #places: readonly HostPlace[]
+  readonly news = new GossipCore()
+  readonly #places: readonly HostLocation[]
   readonly #self: EntryHostId
   readonly #random: RandomSource
   readonly #servers: Server[] = []
@@ -45,7 +45,7 @@
   #opinionTimer: NodeJS.Timeout | undefined
   #messages = 0
 
-  constructor(places: readonly HostPlace[], self: EntryHostId, random: RandomSource) {
+  constructor(places: readonly HostLocation[], self: EntryHostId, random: RandomSource) {
     this.#places = places
     this.#self = self
     this.#random = random
@@ -75,10 +75,10 @@
   }
 
   /** Hosts that would choose the agent as their neighbour and that it does not choose itself. */
-  findDialers(): readonly HostPlace[] {
+  findDialers(): readonly HostLocation[] {
     const self = this.#places.find(place => place.entryHost === this.#self)
     if (self === undefined) throw new Error('the measured host has no place')
-    const othersOf = (place: HostPlace): readonly HostPlace[] =>
+    const othersOf = (place: HostLocation): readonly HostLocation[] =>
       this.#places.filter(other => other !== place)
     const chosen = new Set(chooseNeighbours(self, othersOf(self)))
     return this.#places.filter(
@@ -89,7 +89,7 @@
     )
   }
 
-  async dial(dialers: readonly HostPlace[], agentPort: number): Promise<void> {
+  async dial(dialers: readonly HostLocation[], agentPort: number): Promise<void> {
     for (const place of dialers) await this.#dialAs(place, agentPort)
     const isLarge = this.#places.length > LARGE_FLEET_HOSTS
     this.#heartbeat = setInterval(
@@ -109,14 +109,14 @@
   }
 
   /** Something new reaches the agent as it would through its links. */
-  inject(item: NewsItem): void {
+  inject(item: GossipItem): void {
     this.news.handle({ kind: 'learned', item })
     const links = [...this.#links.values()]
     const first = Math.floor(this.#random.next() * links.length)
     links.forEach((link, index) => {
       if (index !== first && this.#random.next() >= DUPLICATE_SHARE) return
       this.#messages += 2
-      const params: PeerNewsParams = { items: [item] }
+      const params: PeerGossipParams = { items: [item] }
       void link.request('peer.news', params, TIMEOUT_MILLISECONDS)
     })
   }
@@ -128,7 +128,7 @@
     for (const link of this.#links.values()) link.close()
   }
 
-  #accept(place: HostPlace, socket: Socket): void {
+  #accept(place: HostLocation, socket: Socket): void {
     const connection: JsonRpcConnection = new JsonRpcConnection(socket, {
       ...this.#handlers(place),
       'peer.hello': () => {
@@ -138,7 +138,7 @@
     })
   }
 
-  async #dialAs(place: HostPlace, agentPort: number): Promise<void> {
+  async #dialAs(place: HostLocation, agentPort: number): Promise<void> {
     const handlers = this.#handlers(place)
     const opened = await openJsonRpc(LOOPBACK, agentPort, handlers, TIMEOUT_MILLISECONDS)
     if (opened.isErr()) return
@@ -176,7 +176,7 @@
     }
   }
 
-  #handlers(place: HostPlace): RpcHandlers {
+  #handlers(place: HostLocation): RpcHandlers {
     const counted = (handler: (params: unknown) => unknown) => (params: unknown) => {
       this.#messages += 2
       return handler(params)
@@ -185,16 +185,16 @@
       'peer.identify': () => helloOf(place),
       'peer.ping': counted(() => this.#pingAnswer()),
       'peer.news': counted(params => {
-        for (const item of (params as PeerNewsParams).items) {
+        for (const item of (params as PeerGossipParams).items) {
           this.news.handle({ kind: 'learned', item })
         }
         return null
       }),
       'peer.compare': counted(params => ({
-        versions: this.news.versionsWhereDiffering((params as PeerCompareParams).buckets),
+        versions: this.news.differingVersions((params as PeerCompareParams).buckets),
       })),
       'peer.fetch': counted(params => ({
-        items: this.news.pick((params as PeerFetchParams).keys),
+        items: this.news.itemsOf((params as PeerFetchParams).keys),
       })),
       'peer.probe': counted(() => ({ reached: true })),
       'peer.opinion': counted(() => null),
@@ -210,4 +210,4 @@
   }
 }
 
-const helloOf = (place: HostPlace): PeerHello => ({ ...place, incarnation: incarnation(1) })
+const helloOf = (place: HostLocation): PeerHello => ({ ...place, incarnation: incarnation(1) })
--- a/packages/bench/src/fleet/fleetShape.ts
+++ b/packages/bench/src/fleet/fleetShape.ts
@@ -10,7 +10,7 @@
   regionId,
   term,
 } from '@nutmegcourse/shared'
-import type { HostPlace, ListedEntryHost } from '@nutmegcourse/coordination'
+import type { HostLocation, ListedEntryHost } from '@nutmegcourse/coordination'
 
 export interface FleetSize {
   readonly hosts: number
@@ -26,14 +26,14 @@
 const regionsOf = (size: FleetSize): number =>
   size.hosts < LARGE_FLEET_HOSTS ? 1 : LARGE_FLEET_REGIONS
 
-function zonePlace(zone: number): Pick<HostPlace, 'zone' | 'region'> {
+function zonePlace(zone: number): Pick<HostLocation, 'zone' | 'region'> {
   return {
     zone: availabilityZoneId(`zone-${zone}`),
     region: regionId(`region-${Math.floor(zone / ZONES_PER_REGION)}`),
   }
 }
 
-export function hostPlaces(size: FleetSize): readonly HostPlace[] {
+export function hostPlaces(size: FleetSize): readonly HostLocation[] {
   const zones = regionsOf(size) * ZONES_PER_REGION
   return Array.from({ length: size.hosts }, (_, index) => ({
     entryHost: entryHostId(`host-${index}`),
@@ -41,7 +41,7 @@
   }))
 }
 
-export const listedHost = (place: HostPlace, port: number): ListedEntryHost => ({
+export const listedHost = (place: HostLocation, port: number): ListedEntryHost => ({
   kind: 'entryHost',
   id: place.entryHost,
   address: LOOPBACK,
@@ -51,7 +51,7 @@
   state: 'live',
 })
 
-export const memberOf = (place: HostPlace, port: number, life = 1): Member => ({
+export const memberOf = (place: HostLocation, port: number, life = 1): Member => ({
   ...place,
   address: LOOPBACK,
   port,
--- a/packages/bench/src/fleet/measureAgent.ts
+++ b/packages/bench/src/fleet/measureAgent.ts
@@ -1,7 +1,7 @@
 /** Measures one shipped agent against what a fleet of a given size would send it. */
 import { setTimeout as pause } from 'node:timers/promises'
-import { WatcherPlan, type HostPlace, type Watcher } from '@nutmegcourse/coordination'
-import type { ListedBackendServer, NewsItem } from '@nutmegcourse/protocol'
+import { WatcherPlan, type HostLocation, type Watcher } from '@nutmegcourse/coordination'
+import type { ListedBackendServer, GossipItem } from '@nutmegcourse/protocol'
 import { SeededRandom, databaseId, term } from '@nutmegcourse/shared'
 import { BackendServer, backendServerSettingsSchema } from '@nutmegcourse/stand-ins'
 import { openJsonRpc } from '@nutmegcourse/transport'
@@ -81,7 +81,7 @@
 
 /** Everything around the measured agent. */
 class Surroundings {
-  readonly places: readonly HostPlace[]
+  readonly places: readonly HostLocation[]
   readonly peers: FakePeers
   readonly #size: FleetSize
   readonly #options: MeasureOptions
@@ -102,7 +102,7 @@
     return this.#startedAt
   }
 
-  get self(): HostPlace {
+  get self(): HostLocation {
     const [first] = this.places
     if (first === undefined) throw new Error('a fleet has hosts')
     return first
@@ -149,7 +149,7 @@
     for (const close of this.#closers) close()
   }
 
-  #learn(item: NewsItem): void {
+  #learn(item: GossipItem): void {
     this.peers.news.handle({ kind: 'learned', item })
   }
 
@@ -277,7 +277,7 @@
   agent: AgentProcess,
   around: Surroundings,
   quiet: QuietCost,
-  eventOf: (change: number) => NewsItem,
+  eventOf: (change: number) => GossipItem,
 ): Promise<EventCost> {
   const before = await totals(agent, around)
   for (let change = 2; change < EVENTS + 2; change += 1) {
--- a/packages/bench/src/neighbourGraph.ts
+++ b/packages/bench/src/neighbourGraph.ts
@@ -2,14 +2,14 @@
  * `node packages/bench/dist/src/neighbourGraph.js`: how wide the graph of links between agents is,
  * whole and after a cut. The last line is one JSON object.
  */
-import { chooseNeighbours, type HostPlace } from '@nutmegcourse/coordination'
+import { chooseNeighbours, type HostLocation } from '@nutmegcourse/coordination'
 import { hostPlaces } from './fleet/fleetShape.js'
 
 const SIZES = [9, 30, 300, 1500]
 
 interface Part {
   readonly name: string
-  readonly holds: (host: HostPlace, first: HostPlace) => boolean
+  readonly holds: (host: HostLocation, first: HostLocation) => boolean
 }
 
 const PARTS: readonly Part[] = [
@@ -21,7 +21,7 @@
 type Graph = ReadonlyMap<string, ReadonlySet<string>>
 
 /** Links chosen when the whole fleet lived, in both directions, among the hosts of a part. */
-function linksAmong(all: readonly HostPlace[], part: readonly HostPlace[]): Graph {
+function linksAmong(all: readonly HostLocation[], part: readonly HostLocation[]): Graph {
   const members = new Set<string>(part.map(host => host.entryHost))
   const graph = new Map<string, Set<string>>([...members].map(id => [id, new Set<string>()]))
   for (const host of part) {
--- a/packages/bench/src/newsQueue.ts
+++ b/packages/bench/src/newsQueue.ts
@@ -3,8 +3,8 @@
  * older items of a key against one that keeps every item. Virtual time; the shipped queue.
  * The last line is one JSON object.
  */
-import { NewsQueue, type NewsQueueOptions } from '@nutmegcourse/coordination'
-import type { NewsItem } from '@nutmegcourse/protocol'
+import { GossipQueue, type GossipQueueOptions } from '@nutmegcourse/coordination'
+import type { GossipItem } from '@nutmegcourse/protocol'
 import {
   SeededRandom,
   availabilityZoneId,
@@ -50,7 +50,7 @@
   },
 ]
 
-const POLICIES: readonly { readonly name: string; readonly options: NewsQueueOptions }[] = [
+const POLICIES: readonly { readonly name: string; readonly options: GossipQueueOptions }[] = [
   { name: 'plain', options: { limit: 4096, replaceOlder: false } },
   { name: 'plain, unbounded', options: { limit: Number.POSITIVE_INFINITY, replaceOlder: false } },
   { name: 'replacing', options: { limit: 4096, replaceOlder: true } },
@@ -71,7 +71,7 @@
   readonly catchUpMilliseconds: number
 }
 
-function memberItem(key: number, life: number): NewsItem {
+function memberItem(key: number, life: number): GossipItem {
   return {
     kind: 'member',
     member: {
@@ -96,7 +96,7 @@
     this.#madeAt = madeAt
   }
 
-  take(items: readonly NewsItem[], now: number): void {
+  take(items: readonly GossipItem[], now: number): void {
     for (const item of items) {
       if (item.kind !== 'member') continue
       const { entryHost, incarnation: value } = item.member
@@ -116,11 +116,11 @@
 
 function run(workload: Workload, policy: (typeof POLICIES)[number]): Outcome {
   const random = new SeededRandom(SEED)
-  const queue = new NewsQueue(policy.options)
+  const queue = new GossipQueue(policy.options)
   const madeAt: number[] = []
   const made = new Map<string, number>()
   const receiver = new Receiver(madeAt)
-  let underWay: { readonly items: readonly NewsItem[]; readonly doneAt: number } | null = null
+  let underWay: { readonly items: readonly GossipItem[]; readonly doneAt: number } | null = null
   let longestQueue = 0
   let sent = 0
   let now = 0
--- a/packages/bench/src/proxyCost/leanBackend.ts
+++ b/packages/bench/src/proxyCost/leanBackend.ts
@@ -91,7 +91,7 @@
   frame(bytes: Buffer): void {
     if (!this.#started) {
       this.#started = readStartupPacket(bytes).kind === 'startup'
-      this.#frames.becomeTyped()
+      this.#frames.expectTypedFrames()
       this.#answers.push(GREETING)
       return
     }
--- a/packages/bench/src/watcherPlacement.ts
+++ b/packages/bench/src/watcherPlacement.ts
@@ -2,7 +2,7 @@
  * `node packages/bench/dist/src/watcherPlacement.js`: how many databases each host watches, and how
  * that moves when a host, a rack or a zone goes. The last line is one JSON object.
  */
-import { WatcherPlan, type HostPlace } from '@nutmegcourse/coordination'
+import { WatcherPlan, type HostLocation } from '@nutmegcourse/coordination'
 import { databaseId } from '@nutmegcourse/shared'
 import { hostPlaces, serversOf, type FleetSize } from './fleet/fleetShape.js'
 
@@ -16,7 +16,7 @@
 
 interface Loss {
   readonly name: string
-  readonly remaining: (hosts: readonly HostPlace[]) => readonly HostPlace[]
+  readonly remaining: (hosts: readonly HostLocation[]) => readonly HostLocation[]
 }
 
 const LOSSES: readonly Loss[] = [
@@ -34,7 +34,7 @@
 
 type Assignment = ReadonlyMap<string, readonly string[]>
 
-function assign(hosts: readonly HostPlace[], size: FleetSize): Assignment {
+function assign(hosts: readonly HostLocation[], size: FleetSize): Assignment {
   const plan = new WatcherPlan(hosts)
   return new Map(
     Array.from({ length: size.databases }, (_, index) => {
@@ -44,7 +44,7 @@
   )
 }
 
-function countsOf(assignment: Assignment, hosts: readonly HostPlace[]): readonly number[] {
+function countsOf(assignment: Assignment, hosts: readonly HostLocation[]): readonly number[] {
   const counts = new Map<string, number>(hosts.map(host => [host.entryHost, 0]))
   for (const watchers of assignment.values()) {
     for (const id of watchers) counts.set(id, (counts.get(id) ?? 0) + 1)
--- a/packages/coordination/__tests__/failoverCore.spec.ts
+++ b/packages/coordination/__tests__/failoverCore.spec.ts
@@ -50,14 +50,14 @@
     {
       name: 'replaces a primary whose zone is isolated',
       act: simulation => {
-        simulation.network.isolate('tanger-nord')
+        simulation.network.partition('tanger-nord')
       },
       gapBelow: 600,
     },
     {
       name: 'replaces a primary whose zone is isolated and rejoins with writes that no other server holds',
       act: simulation => {
-        simulation.network.isolate('tanger-nord')
+        simulation.network.partition('tanger-nord')
         simulation.runFor(3_000)
         simulation.network.heal('tanger-nord')
       },
--- a/packages/coordination/__tests__/failoverGap.spec.ts
+++ b/packages/coordination/__tests__/failoverGap.spec.ts
@@ -3,7 +3,7 @@
 import type { FailoverEffect } from '@nutmegcourse/coordination'
 
 import { FailoverSimulation } from './failoverSimulation.js'
-import { ATLAS_QUAI, SHUTTERBAITHAK, type Place } from './virtualNetwork.js'
+import { ATLAS_QUAI, SHUTTERBAITHAK, type ZoneLayout } from './virtualNetwork.js'
 
 interface Failure {
   readonly name: string
@@ -23,7 +23,7 @@
 }
 
 function measure(
-  place: Place,
+  place: ZoneLayout,
   primary: number,
   failure: Failure,
   waitsForStore: boolean,
--- a/packages/coordination/__tests__/failoverHealthy.spec.ts
+++ b/packages/coordination/__tests__/failoverHealthy.spec.ts
@@ -39,7 +39,7 @@
     {
       name: 'keeps the primary when another zone is isolated',
       act: simulation => {
-        simulation.network.isolate('casa-est')
+        simulation.network.partition('casa-est')
         simulation.runFor(5_000)
         simulation.network.heal('casa-est')
       },
--- a/packages/coordination/__tests__/failoverSimulation.ts
+++ b/packages/coordination/__tests__/failoverSimulation.ts
@@ -30,7 +30,7 @@
 import { FakeBackendServer, type ControlReply } from './fakeBackendServer.js'
 import { FakeRecordStore } from './fakeRecordStore.js'
 import { MajorityWriters } from './majorityWriters.js'
-import { ATLAS_QUAI, VirtualNetwork, type Place } from './virtualNetwork.js'
+import { ATLAS_QUAI, VirtualNetwork, type ZoneLayout } from './virtualNetwork.js'
 
 const DATABASE = databaseId('quai-sched-1')
 /** Between two transmissions of a primary's log. */
@@ -47,7 +47,7 @@
 export interface SimulationOptions {
   readonly seed?: number
   readonly failover?: Partial<FailoverOptions>
-  readonly place?: Place
+  readonly place?: ZoneLayout
   /** The index of the server that leads at the start. */
   readonly primary?: number
   /** The zone of each watcher; by default one watcher in each zone. */
@@ -77,7 +77,7 @@
     this.#options = options
     this.network = new VirtualNetwork(options.place ?? ATLAS_QUAI)
     this.lag = [...(options.lag ?? [0, 0, 0])]
-    const { zones } = this.network.place
+    const { zones } = this.network.layout
     this.servers = zones.map((zone, index) => makeServer(this.network, zone, index))
     this.#listedServers = this.servers.map((server, index) =>
       this.#createListedServer(server, zones[index] ?? ''),
@@ -135,7 +135,7 @@
     const server = this.servers.find(each => each.id === name)
     if (server === undefined) return
     this.nodes.forEach((node, host) => {
-      this.network.pass(name, node.watcher.entryHost, () => {
+      this.network.send(name, node.watcher.entryHost, () => {
         const askedAt = this.clock.now()
         this.send(host, { kind: 'positionFailed', server: server.id, failure: 'lost', askedAt })
       })
@@ -180,7 +180,7 @@
   send(host: number, message: FailoverMessage): void {
     const name = this.hostName(host)
     if (this.network.isDead(name)) return
-    this.network.whenAwake(name, () => {
+    this.network.whenRunning(name, () => {
       this.#receive(host, message)
     })
   }
@@ -193,7 +193,7 @@
   /** The longest such time of a single host, among those that are up and reachable. */
   longestHostGapSince(from: number): number {
     const hosts = this.nodes.map(node => node.watcher.entryHost)
-    const up = hosts.filter(host => !this.network.isOut(host))
+    const up = hosts.filter(host => !this.network.isUnavailable(host))
     return Math.max(...up.map(host => this.writers.gapSince(from, host)))
   }
 
@@ -211,8 +211,8 @@
   hasConverged(): boolean {
     const leader = this.leader()
     if (leader === null) return false
-    const servers = this.servers.filter(server => !this.network.isOut(server.id))
-    const nodes = this.nodes.filter(node => !this.network.isOut(node.watcher.entryHost))
+    const servers = this.servers.filter(server => !this.network.isUnavailable(server.id))
+    const nodes = this.nodes.filter(node => !this.network.isUnavailable(node.watcher.entryHost))
     return (
       servers.every(server => server === leader || server.source === leader.id) &&
       servers.every(server => server.lastTerm === leader.lastTerm) &&
@@ -232,7 +232,7 @@
       zone: availabilityZoneId(zone),
       region: regionId(this.network.regionOf(zone)),
     }
-    this.network.put(watcher.entryHost, zone)
+    this.network.addProcess(watcher.entryHost, zone)
     return { watcher, core: this.#makeCore(watcher, index), wakeAt: null, routed: null }
   }
 
@@ -336,7 +336,7 @@
     const from = this.hostName(host)
     this.nodes.forEach((node, index) => {
       if (index === host) return
-      this.network.pass(from, node.watcher.entryHost, () => {
+      this.network.send(from, node.watcher.entryHost, () => {
         this.send(index, message)
       })
     })
@@ -413,12 +413,12 @@
     fail: (failure: ControlFailure) => void,
     succeed: (report: ReturnType<FakeBackendServer['report']>) => void,
   ): void {
-    this.network.pass(from, to, () => {
+    this.network.send(from, to, () => {
       const target = this.servers.find(server => server.id === to)
       const isDead = target === undefined || this.network.isDead(target.id)
       const reply: ControlReply | 'refused' = isDead ? 'refused' : run(target)
       if (!isDead) this.#replicate(target)
-      this.network.pass(to, from, () => {
+      this.network.send(to, from, () => {
         once(() => {
           if (reply === 'refused') fail('refused')
           else if (reply.kind === 'staleTerm') fail('staleTerm')
@@ -452,7 +452,7 @@
       if (replica === source) return
       this.network.schedule(this.lag[index] ?? 0, () => {
         if (this.network.isDead(source.id)) return
-        this.network.pass(source.id, replica.id, () => {
+        this.network.send(source.id, replica.id, () => {
           if (!this.network.isDead(replica.id)) replica.replicate(source.id, sent)
         })
       })
@@ -462,7 +462,7 @@
   #scheduleReplication(): void {
     this.network.schedule(REPLICATION_INTERVAL_MILLISECONDS, () => {
       for (const server of this.servers) {
-        if (!this.network.isOut(server.id)) this.#replicate(server)
+        if (!this.network.isUnavailable(server.id)) this.#replicate(server)
       }
       this.#scheduleReplication()
     })
@@ -501,6 +501,6 @@
 
 function makeServer(network: VirtualNetwork, zone: string, index: number): FakeBackendServer {
   const id = backendServerId(`server-${index}`)
-  network.put(id, zone)
+  network.addProcess(id, zone)
   return new FakeBackendServer(id, [{ term: 1, write: null }], 1)
 }
--- a/packages/coordination/__tests__/fakeRecordStore.ts
+++ b/packages/coordination/__tests__/fakeRecordStore.ts
@@ -29,7 +29,7 @@
     this.#watchers = watchers
     this.#changed = changed
     this.stored = { record, revision: 7 }
-    network.put(STORE, network.place.zones[0])
+    network.addProcess(STORE, network.layout.zones[0])
   }
 
   call(from: string, effect: StoreEffect, answer: (outcome: StoreOutcome) => void): void {
@@ -42,7 +42,7 @@
       once({ kind: 'failed' })
     })
     if (this.state === 'down') return
-    this.#network.pass(from, STORE, () => {
+    this.#network.send(from, STORE, () => {
       this.#network.schedule(PROCESSING_MILLISECONDS + this.delay, () => {
         this.#finish(from, effect, once)
       })
@@ -53,7 +53,7 @@
     if (this.state === 'down') return
     const outcome = this.#run(effect)
     if (this.state === 'answersLost') return
-    this.#network.pass(STORE, from, () => {
+    this.#network.send(STORE, from, () => {
       answer(outcome)
     })
   }
@@ -67,7 +67,7 @@
     const revision = this.stored.revision + 1
     this.stored = { record, revision }
     this.#watchers.forEach((name, watcher) => {
-      this.#network.pass(STORE, name, () => {
+      this.#network.send(STORE, name, () => {
         this.#changed(watcher, record, revision)
       })
     })
--- a/packages/coordination/__tests__/fleetSimulation.ts
+++ b/packages/coordination/__tests__/fleetSimulation.ts
@@ -15,13 +15,13 @@
 import {
   DEFAULT_MEMBERSHIP_OPTIONS,
   MembershipCore,
-  NewsCore,
+  GossipCore,
   type ListedEntryHost,
   type MembershipEffect,
   type MembershipMessage,
   type MembershipOptions,
-  type NewsEffect,
-  type NewsMessage,
+  type GossipEffect,
+  type GossipMessage,
 } from '../src/index.js'
 
 const STEP_MILLISECONDS = 100
@@ -38,7 +38,7 @@
 interface RunningHost {
   readonly host: SimulatedHost
   readonly membership: MembershipCore
-  readonly gossip: NewsCore
+  readonly gossip: GossipCore
   readonly links: Set<EntryHostId>
   neighbours: readonly EntryHostId[]
   stalled: boolean
@@ -93,7 +93,7 @@
     const running = {
       host,
       membership,
-      gossip: new NewsCore(),
+      gossip: new GossipCore(),
       links: new Set<EntryHostId>(),
       neighbours: [],
       stalled: false,
@@ -159,7 +159,7 @@
         if (running.stalled) continue
         if ((this.#steps + index) % TICK_STEPS === 0)
           this.#handleMembership(running, { kind: 'tick' })
-        const every = HEARTBEAT_STEPS * running.membership.heartbeatEvery
+        const every = HEARTBEAT_STEPS * running.membership.heartbeatIntervalMultiple
         if ((this.#steps + index) % every === 0) this.#heartbeat(running)
       }
     }
@@ -230,11 +230,11 @@
     this.#handleMembership(running, { kind: 'probeAnswered', subject: effect.subject, reached })
   }
 
-  #handleGossip(running: RunningHost, message: NewsMessage): void {
+  #handleGossip(running: RunningHost, message: GossipMessage): void {
     for (const effect of running.gossip.handle(message)) this.#applyGossipEffect(running, effect)
   }
 
-  #applyGossipEffect(running: RunningHost, effect: NewsEffect): void {
+  #applyGossipEffect(running: RunningHost, effect: GossipEffect): void {
     if (effect.kind === 'changed') {
       if (effect.item.kind === 'member') {
         this.#handleMembership(running, { kind: 'news', member: effect.item.member })
@@ -255,10 +255,14 @@
       this.#handleGossip(other, { kind: 'batchReceived', peer: self, items: effect.items })
       this.#handleGossip(running, { kind: 'batchTaken', peer })
     } else if (effect.kind === 'compare') {
-      const found = other.gossip.versionsWhereDiffering(effect.buckets)
+      const found = other.gossip.differingVersions(effect.buckets)
       this.#handleGossip(running, { kind: 'compared', peer, versions: found })
     } else {
-      this.#handleGossip(running, { kind: 'fetched', peer, items: other.gossip.pick(effect.keys) })
+      this.#handleGossip(running, {
+        kind: 'fetched',
+        peer,
+        items: other.gossip.itemsOf(effect.keys),
+      })
       this.#handleGossip(running, { kind: 'fetchEnded', peer })
     }
   }
--- a/packages/coordination/__tests__/gossip.spec.ts
+++ b/packages/coordination/__tests__/gossip.spec.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import fc from 'fast-check'
-import type { GroupRecord, NewsItem } from '@nutmegcourse/protocol'
+import type { GroupRecord, GossipItem } from '@nutmegcourse/protocol'
 import {
   backendServerId,
   databaseId,
@@ -10,12 +10,18 @@
   term,
   type EntryHostId,
 } from '@nutmegcourse/shared'
-import { NewsCore, GossipDigest, NewsQueue, isNewerRecord, type NewsEffect } from '../src/index.js'
+import {
+  GossipCore,
+  GossipDigest,
+  GossipQueue,
+  isNewerRecord,
+  type GossipEffect,
+} from '../src/index.js'
 
 const PEER = entryHostId('peer')
 const OTHER = entryHostId('other')
 
-const drains = (version: number): NewsItem => ({
+const drains = (version: number): GossipItem => ({
   kind: 'drains',
   drains: { version, backendServers: [] },
 })
@@ -38,7 +44,7 @@
 const FENCING = { kind: 'fencing', target: null } as const
 const MOVING = { kind: 'moving', target: backendServerId('second') } as const
 
-const batchesTo = (effects: readonly NewsEffect[], peer: string) =>
+const batchesTo = (effects: readonly GossipEffect[], peer: string) =>
   effects.flatMap(effect =>
     effect.kind === 'sendBatch' && effect.peer === peer ? [effect.items] : [],
   )
@@ -48,7 +54,7 @@
     const items = [1, 2, 3].map(drains)
     fc.assert(
       fc.property(fc.shuffledSubarray(items, { minLength: 1 }), order => {
-        const core = new NewsCore()
+        const core = new GossipCore()
         for (const item of order) core.handle({ kind: 'learned', item })
         const versions = order.map(item => (item.kind === 'drains' ? item.drains.version : 0))
         expect(core.get('drains')).toEqual(drains(Math.max(...versions)))
@@ -68,7 +74,7 @@
         [older, newer],
         [newer, older],
       ]) {
-        const core = new NewsCore()
+        const core = new GossipCore()
         for (const item of order) core.handle({ kind: 'learned', item })
         expect(core.get('group/a')).toEqual(newer)
       }
@@ -78,7 +84,7 @@
   }
 
   it('relays an item to every peer except its sender, and only once', () => {
-    const core = new NewsCore()
+    const core = new GossipCore()
     core.handle({ kind: 'peerConnected', peer: PEER })
     core.handle({ kind: 'peerConnected', peer: OTHER })
     const first = core.handle({ kind: 'batchReceived', peer: PEER, items: [drains(1)] })
@@ -89,7 +95,7 @@
 
   // A peer is slow to acknowledge a batch. Meanwhile only the newest version of each key is queued.
   it('keeps one batch in flight to a peer and sends only the newest versions after it', () => {
-    const core = new NewsCore()
+    const core = new GossipCore()
     core.handle({ kind: 'peerConnected', peer: PEER })
     const sent = [1, 2, 3, 4].flatMap(version =>
       batchesTo(core.handle({ kind: 'learned', item: drains(version) }), PEER),
@@ -106,8 +112,8 @@
         fc.array(fc.tuple(fc.integer({ min: 0, max: 200 }), fc.integer({ min: 1, max: 5 }))),
         fc.array(fc.tuple(fc.integer({ min: 0, max: 200 }), fc.integer({ min: 1, max: 5 }))),
         (ours, theirs) => {
-          const left = new NewsCore()
-          const right = new NewsCore()
+          const left = new GossipCore()
+          const right = new GossipCore()
           for (const [name, revision] of ours) {
             left.handle({ kind: 'learned', item: group(`db-${name}`, 1, STABLE, revision) })
           }
@@ -124,7 +130,7 @@
   })
 
   it('relays a few items found by a comparison, like the push that did not reach this host', () => {
-    const core = new NewsCore()
+    const core = new GossipCore()
     core.handle({ kind: 'peerConnected', peer: PEER })
     core.handle({ kind: 'peerConnected', peer: OTHER })
     const effects = core.handle({ kind: 'fetched', peer: PEER, items: [drains(3)] })
@@ -134,17 +140,17 @@
   // A host that has just started differs from all its neighbours and would otherwise fetch the whole
   // state from each of them.
   it('fetches the whole state from one neighbour at a time, and relays none of it', () => {
-    const full = new NewsCore()
+    const full = new GossipCore()
     for (let name = 0; name < 600; name += 1) {
       full.handle({ kind: 'learned', item: group(`db-${name}`, 1, STABLE, 1) })
     }
-    const newHost = new NewsCore()
+    const newHost = new GossipCore()
     newHost.handle({ kind: 'peerConnected', peer: PEER })
     newHost.handle({ kind: 'peerConnected', peer: OTHER })
     const first = newHost.handle({ kind: 'rootHeard', peer: PEER, root: full.root })
     const second = newHost.handle({ kind: 'rootHeard', peer: OTHER, root: full.root })
     expect([first.length, second.length]).toEqual([1, 0])
-    const versions = full.versionsWhereDiffering(new GossipDigest().buckets())
+    const versions = full.differingVersions(new GossipDigest().buckets())
     const fetches = newHost.handle({ kind: 'compared', peer: PEER, versions })
     expect(fetches.map(effect => effect.kind)).toEqual(['fetch', 'fetch', 'fetch'])
     const taken = newHost.handle({ kind: 'fetched', peer: PEER, items: [...full.items()] })
@@ -157,7 +163,7 @@
   })
 
   it('does not start a comparison for a difference that a push in progress may resolve', () => {
-    const core = new NewsCore()
+    const core = new GossipCore()
     core.handle({ kind: 'peerConnected', peer: PEER })
     core.handle({ kind: 'rootHeard', peer: PEER, root: core.root })
     core.handle({ kind: 'learned', item: drains(1) })
@@ -175,7 +181,7 @@
   ]
   for (const { name, replaceOlder, limit, length, dropped } of policies) {
     it(`${name}: holds ${length} items and drops ${dropped}`, () => {
-      const queue = new NewsQueue({ limit, replaceOlder })
+      const queue = new GossipQueue({ limit, replaceOlder })
       for (let change = 0; change < 1000; change += 1) {
         queue.push(group(`db-${change % 10}`, 1, STABLE, change))
       }
@@ -184,7 +190,7 @@
   }
 
   it('neither delays other keys nor starves a key that changes constantly', () => {
-    const queue = new NewsQueue({ limit: 10, replaceOlder: true })
+    const queue = new GossipQueue({ limit: 10, replaceOlder: true })
     queue.push(group('busy', 1, STABLE, 1))
     queue.push(group('quiet', 1, STABLE, 1))
     queue.push(group('busy', 1, STABLE, 2))
@@ -195,21 +201,21 @@
 })
 
 /** Each side compares once with the other, over a lossless link. */
-function synchronise(left: NewsCore, right: NewsCore): void {
+function synchronise(left: GossipCore, right: GossipCore): void {
   left.handle({ kind: 'peerConnected', peer: PEER })
   right.handle({ kind: 'peerConnected', peer: OTHER })
   compareOnce(left, PEER, right)
   compareOnce(right, OTHER, left)
 }
 
-function compareOnce(core: NewsCore, peer: EntryHostId, other: NewsCore): void {
+function compareOnce(core: GossipCore, peer: EntryHostId, other: GossipCore): void {
   const pending = [...core.handle({ kind: 'rootHeard', peer, root: other.root })]
   for (let effect = pending.shift(); effect !== undefined; effect = pending.shift()) {
     if (effect.kind === 'compare') {
-      const versions = other.versionsWhereDiffering(effect.buckets)
+      const versions = other.differingVersions(effect.buckets)
       pending.push(...core.handle({ kind: 'compared', peer, versions }))
     } else if (effect.kind === 'fetch') {
-      pending.push(...core.handle({ kind: 'fetched', peer, items: other.pick(effect.keys) }))
+      pending.push(...core.handle({ kind: 'fetched', peer, items: other.itemsOf(effect.keys) }))
       pending.push(...core.handle({ kind: 'fetchEnded', peer }))
     }
   }
--- a/packages/coordination/__tests__/majorityWriters.ts
+++ b/packages/coordination/__tests__/majorityWriters.ts
@@ -67,7 +67,7 @@
     if (primary === undefined) return
     this.#lastWrite += 1
     const write = this.#lastWrite
-    this.#network.pass(host, primary.id, () => {
+    this.#network.send(host, primary.id, () => {
       if (this.#network.isDead(primary.id) || !primary.write(write)) return
       const { position } = primary.report()
       this.#confirm({ host, write, primary, position, ranAt: this.#network.clock.now() })
@@ -87,13 +87,13 @@
 
   #pollServer(pending: PendingWrite, server: FakeBackendServer): void {
     const { host, position, write } = pending
-    this.#network.pass(host, server.id, () => {
+    this.#network.send(host, server.id, () => {
       if (this.#network.isDead(server.id)) return
       const report = server.report()
       const isSameTerm = report.position.term === position.term
       const isNotFencedAbove = report.fencedTerm <= position.term
       if (!isSameTerm || !isNotFencedAbove || report.position.offset < position.offset) return
-      this.#network.pass(server.id, host, () => {
+      this.#network.send(server.id, host, () => {
         this.#acknowledge(write, host)
       })
     })
--- a/packages/coordination/__tests__/synchronous/primaryChange.spec.ts
+++ b/packages/coordination/__tests__/synchronous/primaryChange.spec.ts
@@ -76,7 +76,7 @@
     return Promise.resolve(this.#describe(server))
   }
 
-  rest(): Promise<void> {
+  waitBeforeRetry(): Promise<void> {
     this.write()
     return Promise.resolve()
   }
--- a/packages/coordination/__tests__/synchronous/primaryChoiceExplored.spec.ts
+++ b/packages/coordination/__tests__/synchronous/primaryChoiceExplored.spec.ts
@@ -77,7 +77,7 @@
     return this.#command(server, () => (this.#hasSteppedDown = true))
   }
 
-  rest(): Promise<void> {
+  waitBeforeRetry(): Promise<void> {
     this.nextEvent()
     return Promise.resolve()
   }
--- a/packages/coordination/__tests__/synchronous/primarySuspicion.spec.ts
+++ b/packages/coordination/__tests__/synchronous/primarySuspicion.spec.ts
@@ -191,8 +191,8 @@
   } of CASES) {
     it(name, () => {
       const suspicion = new PrimarySuspicion()
-      for (const [host, primary, at] of votes) suspicion.heardVote(host, primary, milliseconds(at))
-      for (const host of denials ?? []) suspicion.heardDenial(host, P, milliseconds(0))
+      for (const [host, primary, at] of votes) suspicion.recordVote(host, primary, milliseconds(at))
+      for (const host of denials ?? []) suspicion.recordDenial(host, P, milliseconds(0))
       const signs = {
         primary: P,
         silentMilliseconds: silent ?? 0,
--- a/packages/coordination/__tests__/virtualNetwork.ts
+++ b/packages/coordination/__tests__/virtualNetwork.ts
@@ -3,17 +3,17 @@
 import { VirtualClock } from '@nutmegcourse/shared'
 
 /** The zones of one customer; the first two are in the same region. */
-export interface Place {
+export interface ZoneLayout {
   readonly zones: readonly [string, string, string]
   /** One-way latency between the zones of a region, in milliseconds. */
   readonly zoneLatency: number
 }
 
-export const ATLAS_QUAI: Place = {
+export const ATLAS_QUAI: ZoneLayout = {
   zones: ['tanger-nord', 'tanger-sud', 'casa-est'],
   zoneLatency: 1.5,
 }
-export const SHUTTERBAITHAK: Place = {
+export const SHUTTERBAITHAK: ZoneLayout = {
   zones: ['salt-lake', 'new-town', 'matigara'],
   zoneLatency: 0.5,
 }
@@ -28,7 +28,7 @@
 
 export class VirtualNetwork {
   readonly clock = new VirtualClock()
-  readonly place: Place
+  readonly layout: ZoneLayout
   readonly #queue = new TinyQueue<ScheduledEvent>([], (left, right) =>
     left.at === right.at ? left.order - right.order : left.at - right.at,
   )
@@ -38,15 +38,15 @@
   readonly #cuts = new Set<string>()
   #order = 0
 
-  constructor(place: Place) {
-    this.place = place
+  constructor(place: ZoneLayout) {
+    this.layout = place
   }
 
   get now(): number {
     return this.clock.now()
   }
 
-  put(name: string, zone: string): void {
+  addProcess(name: string, zone: string): void {
     this.#zoneOf.set(name, zone)
   }
 
@@ -69,7 +69,7 @@
   }
 
   /** Cuts off one zone, or one process, from all others. */
-  isolate(name: string): void {
+  partition(name: string): void {
     this.#cuts.add(name)
   }
 
@@ -86,13 +86,13 @@
   }
 
   /** Whether the process is dead, stalled or cut off. */
-  isOut(name: string): boolean {
+  isUnavailable(name: string): boolean {
     const isCut = this.#cuts.has(name) || this.#cuts.has(this.#zoneOf.get(name) ?? '')
     return this.#killed.has(name) || this.#stalledCallbacks.has(name) || isCut
   }
 
   regionOf(zone: string): string {
-    return zone === this.place.zones[2] ? 'far' : 'near'
+    return zone === this.layout.zones[2] ? 'far' : 'near'
   }
 
   schedule(delay: number, run: () => void): void {
@@ -113,14 +113,14 @@
   }
 
   /** Delivers after the link's latency, unless the two are cut off from each other; delayed while the receiver is stalled. */
-  pass(from: string, to: string, deliver: () => void): void {
+  send(from: string, to: string, deliver: () => void): void {
     this.schedule(this.#latency(from, to), () => {
-      if (!this.#isDisconnected(from, to)) this.whenAwake(to, deliver)
+      if (!this.#isDisconnected(from, to)) this.whenRunning(to, deliver)
     })
   }
 
   /** Runs the callback now, or once a stalled process resumes. */
-  whenAwake(name: string, run: () => void): void {
+  whenRunning(name: string, run: () => void): void {
     const held = this.#stalledCallbacks.get(name)
     if (held === undefined) run()
     else held.push(run)
@@ -131,7 +131,7 @@
     const right = this.#zoneOf.get(to) ?? ''
     if (left === right) return INTRA_ZONE_LATENCY_MILLISECONDS
     const isNear = this.regionOf(left) === this.regionOf(right)
-    return isNear ? this.place.zoneLatency : INTER_REGION_LATENCY_MILLISECONDS
+    return isNear ? this.layout.zoneLatency : INTER_REGION_LATENCY_MILLISECONDS
   }
 
   #isDisconnected(from: string, to: string): boolean {
--- a/packages/coordination/__tests__/watchers.spec.ts
+++ b/packages/coordination/__tests__/watchers.spec.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import { availabilityZoneId, databaseId, entryHostId, regionId } from '@nutmegcourse/shared'
-import { WatcherPlan, chooseNeighbours, type HostPlace, type Watcher } from '../src/index.js'
+import { WatcherPlan, chooseNeighbours, type HostLocation, type Watcher } from '../src/index.js'
 
 const ZONES = ['a', 'b', 'c', 'd', 'e', 'f']
 /** Three zones per region. */
@@ -11,7 +11,7 @@
   region: regionId(regionOf(zone)),
 })
 
-function hostsIn(zones: readonly string[], each: number): readonly HostPlace[] {
+function hostsIn(zones: readonly string[], each: number): readonly HostLocation[] {
   return zones.flatMap(zone =>
     Array.from({ length: each }, (_, index) => ({
       entryHost: entryHostId(`${zone}-${index}`),
@@ -133,8 +133,8 @@
 
 /** The number of hosts that the first one reaches over links in either direction. */
 function reachedFrom(
-  hosts: readonly HostPlace[],
-  links: readonly { readonly host: HostPlace; readonly peers: ReadonlySet<string> }[],
+  hosts: readonly HostLocation[],
+  links: readonly { readonly host: HostLocation; readonly peers: ReadonlySet<string> }[],
 ): number {
   const members = new Set<string>(hosts.map(host => host.entryHost))
   const around = new Map<string, Set<string>>([...members].map(id => [id, new Set<string>()]))
--- a/packages/coordination/src/failoverChangeController.ts
+++ b/packages/coordination/src/failoverChangeController.ts
@@ -2,7 +2,7 @@
 import {
   addMilliseconds,
   assertNever,
-  drawnApart,
+  jittered,
   milliseconds,
   type Milliseconds,
 } from '@nutmegcourse/shared'
@@ -153,7 +153,7 @@
       MAX_RETRY_FACTOR,
     )
     // Without jitter, two watchers that preempted each other would retry at the same time.
-    this.#retryAt = addMilliseconds(now, drawnApart(wait, random))
+    this.#retryAt = addMilliseconds(now, jittered(wait, random))
     eventLog.append('abandoned', attempt.term, detail, now)
   }
 }
--- a/packages/coordination/src/failoverGroup.ts
+++ b/packages/coordination/src/failoverGroup.ts
@@ -1,7 +1,7 @@
 /** The backend servers of a database as this watcher sees them. */
 import {
   majorityOf,
-  ORIGIN,
+  LOG_START,
   isAtOrPast,
   milliseconds,
   type BackendServerId,
@@ -128,7 +128,7 @@
   newestTerm(): Term {
     const reports = [...this.#watches.values()].flatMap(watch => watch.latest?.report ?? [])
     const terms = reports.flatMap(report => [report.fencedTerm, report.position.term])
-    return terms.reduce(laterTerm, ORIGIN.term)
+    return terms.reduce(laterTerm, LOG_START.term)
   }
 
   /** Since when at least one server has been fenced above `term`; null when none is. */
--- a/packages/coordination/src/gossipCore.ts
+++ b/packages/coordination/src/gossipCore.ts
@@ -4,16 +4,16 @@
  * missed. Sans-I/O: takes one message, returns effects.
  */
 import {
-  compareVersions,
-  newsKey,
-  newsVersion,
-  type NewsItem,
-  type NewsVersion,
+  compareGossipVersions,
+  gossipKey,
+  gossipVersion,
+  type GossipItem,
+  type GossipVersion,
 } from '@nutmegcourse/protocol'
 import { assertNever, type EntryHostId } from '@nutmegcourse/shared'
 import { GossipDigest, bucketOf } from './gossipDigest.js'
-import type { HeldVersion, NewsEffect, NewsMessage } from './gossipMessages.js'
-import { DEFAULT_GOSSIP_QUEUE, NewsQueue, type NewsQueueOptions } from './gossipQueue.js'
+import type { HeldVersion, GossipEffect, GossipMessage } from './gossipMessages.js'
+import { DEFAULT_GOSSIP_QUEUE, GossipQueue, type GossipQueueOptions } from './gossipQueue.js'
 
 /** Items in one message: enough to drain a burst, few enough not to delay a heartbeat. */
 const BATCH_ITEMS = 64
@@ -24,7 +24,7 @@
 const DIFFERENCES_BEFORE_COMPARING = 2
 
 interface Peer {
-  readonly queue: NewsQueue
+  readonly queue: GossipQueue
   sending: boolean
   /** Consecutive heartbeats in which the peer's digest differed. */
   differences: number
@@ -36,14 +36,14 @@
   fetchesLeft: number
 }
 
-export class NewsCore {
-  readonly #queueOptions: NewsQueueOptions
-  readonly #items = new Map<string, NewsItem>()
+export class GossipCore {
+  readonly #queueOptions: GossipQueueOptions
+  readonly #items = new Map<string, GossipItem>()
   readonly #digest = new GossipDigest()
   readonly #peers = new Map<EntryHostId, Peer>()
   #comparison: Comparison | null = null
 
-  constructor(queueOptions: NewsQueueOptions = DEFAULT_GOSSIP_QUEUE) {
+  constructor(queueOptions: GossipQueueOptions = DEFAULT_GOSSIP_QUEUE) {
     this.#queueOptions = queueOptions
   }
 
@@ -51,21 +51,21 @@
     return this.#digest.root()
   }
 
-  get(key: string): NewsItem | undefined {
+  get(key: string): GossipItem | undefined {
     return this.#items.get(key)
   }
 
-  items(): IterableIterator<NewsItem> {
+  items(): IterableIterator<GossipItem> {
     return this.#items.values()
   }
 
   /** The answer to a peer's `fetch`. */
-  pick(keys: readonly string[]): readonly NewsItem[] {
+  itemsOf(keys: readonly string[]): readonly GossipItem[] {
     return keys.flatMap(key => this.#items.get(key) ?? [])
   }
 
   /** The answer to a peer's `compare`: what this host holds in the buckets that differ. */
-  versionsWhereDiffering(buckets: readonly number[]): readonly HeldVersion[] {
+  differingVersions(buckets: readonly number[]): readonly HeldVersion[] {
     return this.#versionsIn(new Set(this.#digest.differingBuckets(buckets)))
   }
 
@@ -73,11 +73,11 @@
   forget(key: string): void {
     const item = this.#items.get(key)
     if (item === undefined) return
-    this.#digest.toggle(key, newsVersion(item))
+    this.#digest.toggle(key, gossipVersion(item))
     this.#items.delete(key)
   }
 
-  handle(message: NewsMessage): readonly NewsEffect[] {
+  handle(message: GossipMessage): readonly GossipEffect[] {
     switch (message.kind) {
       case 'learned':
         return this.#learn([message.item], null)
@@ -111,14 +111,14 @@
 
   #newPeer(): Peer {
     return {
-      queue: new NewsQueue(this.#queueOptions),
+      queue: new GossipQueue(this.#queueOptions),
       sending: false,
       // A new link is compared at its first heartbeat, as either side may have missed many items.
       differences: DIFFERENCES_BEFORE_COMPARING - 1,
     }
   }
 
-  #learn(items: readonly NewsItem[], from: EntryHostId | null): readonly NewsEffect[] {
+  #learn(items: readonly GossipItem[], from: EntryHostId | null): readonly GossipEffect[] {
     const newer = items.filter(item => this.#adopt(item))
     return [...newer.map(changed), ...this.#relay(newer, from)]
   }
@@ -128,18 +128,18 @@
    * further. Many items are a whole state that this host lacked; if they were relayed, a host that
    * joins would send the whole state to every neighbour.
    */
-  #receiveFetched(items: readonly NewsItem[], from: EntryHostId): readonly NewsEffect[] {
+  #receiveFetched(items: readonly GossipItem[], from: EntryHostId): readonly GossipEffect[] {
     if (items.length <= RELAYED_ITEMS_LIMIT) return this.#learn(items, from)
     return items.filter(item => this.#adopt(item)).map(changed)
   }
 
-  #adopt(item: NewsItem): boolean {
-    const key = newsKey(item)
-    const version = newsVersion(item)
+  #adopt(item: GossipItem): boolean {
+    const key = gossipKey(item)
+    const version = gossipVersion(item)
     const held = this.#items.get(key)
     if (held !== undefined) {
-      const heldVersion = newsVersion(held)
-      if (compareVersions(version, heldVersion) <= 0) return false
+      const heldVersion = gossipVersion(held)
+      if (compareGossipVersions(version, heldVersion) <= 0) return false
       this.#digest.toggle(key, heldVersion)
     }
     this.#items.set(key, item)
@@ -147,9 +147,9 @@
     return true
   }
 
-  #relay(items: readonly NewsItem[], from: EntryHostId | null): readonly NewsEffect[] {
+  #relay(items: readonly GossipItem[], from: EntryHostId | null): readonly GossipEffect[] {
     if (items.length === 0) return []
-    const effects: NewsEffect[] = []
+    const effects: GossipEffect[] = []
     for (const [id, peer] of this.#peers) {
       if (id === from) continue
       for (const item of items) peer.queue.push(item)
@@ -159,7 +159,7 @@
   }
 
   /** One batch at a time is in flight to a peer; meanwhile newer items replace older ones in the queue. */
-  #sendNext(id: EntryHostId, peer: Peer): readonly NewsEffect[] {
+  #sendNext(id: EntryHostId, peer: Peer): readonly GossipEffect[] {
     if (peer.sending) return []
     const items = peer.queue.take(BATCH_ITEMS)
     if (items.length === 0) return []
@@ -167,7 +167,7 @@
     return [{ kind: 'sendBatch', peer: id, items }]
   }
 
-  #batchAcknowledged(id: EntryHostId): readonly NewsEffect[] {
+  #batchAcknowledged(id: EntryHostId): readonly GossipEffect[] {
     const peer = this.#peers.get(id)
     if (peer === undefined) return []
     peer.sending = false
@@ -178,7 +178,7 @@
    * Runs one comparison at a time, and each side fetches what it lacks. A host that has just started
    * differs from all its neighbours and would otherwise fetch the whole state from each of them.
    */
-  #receiveRoot(id: EntryHostId, root: number): readonly NewsEffect[] {
+  #receiveRoot(id: EntryHostId, root: number): readonly GossipEffect[] {
     const peer = this.#peers.get(id)
     if (peer === undefined) return []
     if (root === this.#digest.root()) {
@@ -191,7 +191,7 @@
     return [{ kind: 'compare', peer: id, buckets: this.#digest.buckets() }]
   }
 
-  #receiveVersions(id: EntryHostId, versions: readonly HeldVersion[]): readonly NewsEffect[] {
+  #receiveVersions(id: EntryHostId, versions: readonly HeldVersion[]): readonly GossipEffect[] {
     if (this.#comparison?.peer !== id) return []
     const missing = versions.filter(([key, version]) => this.#isNewer(key, version))
     const effects = fetches(id, missing)
@@ -200,9 +200,9 @@
     return effects
   }
 
-  #isNewer(key: string, version: NewsVersion): boolean {
+  #isNewer(key: string, version: GossipVersion): boolean {
     const held = this.#items.get(key)
-    return held === undefined || compareVersions(version, newsVersion(held)) > 0
+    return held === undefined || compareGossipVersions(version, gossipVersion(held)) > 0
   }
 
   #fetchEnded(id: EntryHostId): void {
@@ -221,17 +221,17 @@
   #versionsIn(buckets: ReadonlySet<number>): readonly HeldVersion[] {
     const versions: HeldVersion[] = []
     for (const [key, item] of this.#items) {
-      if (buckets.has(bucketOf(key))) versions.push([key, newsVersion(item)])
+      if (buckets.has(bucketOf(key))) versions.push([key, gossipVersion(item)])
     }
     return versions
   }
 }
 
-const changed = (item: NewsItem): NewsEffect => ({ kind: 'changed', item })
+const changed = (item: GossipItem): GossipEffect => ({ kind: 'changed', item })
 
-function fetches(peer: EntryHostId, missing: readonly HeldVersion[]): readonly NewsEffect[] {
+function fetches(peer: EntryHostId, missing: readonly HeldVersion[]): readonly GossipEffect[] {
   const keys = missing.map(([key]) => key)
-  const effects: NewsEffect[] = []
+  const effects: GossipEffect[] = []
   for (let start = 0; start < keys.length; start += FETCH_BATCH_KEYS) {
     effects.push({ kind: 'fetch', peer, keys: keys.slice(start, start + FETCH_BATCH_KEYS) })
   }
--- a/packages/coordination/src/gossipDigest.ts
+++ b/packages/coordination/src/gossipDigest.ts
@@ -2,7 +2,7 @@
  * A digest of many versioned items that is cheap to update and to compare: one hash for each bucket.
  * Two hosts with the same digest hold the same versions, except with a probability of 1 in 2^32.
  */
-import type { NewsVersion } from '@nutmegcourse/protocol'
+import type { GossipVersion } from '@nutmegcourse/protocol'
 import { mixHashes, stableHash } from './stableHash.js'
 
 export const DIGEST_BUCKETS = 64
@@ -13,7 +13,7 @@
   readonly #buckets = new Array<number>(DIGEST_BUCKETS).fill(0)
 
   /** Adds a version, or removes it again: the operation is its own inverse. */
-  toggle(key: string, version: NewsVersion): void {
+  toggle(key: string, version: GossipVersion): void {
     const bucket = bucketOf(key)
     const entry = stableHash(`${key} ${version.join(' ')}`)
     this.#buckets[bucket] = ((this.#buckets[bucket] ?? 0) ^ entry) >>> 0
--- a/packages/coordination/src/gossipMessages.ts
+++ b/packages/coordination/src/gossipMessages.ts
@@ -1,19 +1,19 @@
 /** Messages and effects of the gossip state machine, which spreads versioned items between agents. */
-import type { NewsItem, NewsVersion } from '@nutmegcourse/protocol'
+import type { GossipItem, GossipVersion } from '@nutmegcourse/protocol'
 import type { EntryHostId } from '@nutmegcourse/shared'
 
 /** A key and the version of it that a host holds. */
-export type HeldVersion = readonly [string, NewsVersion]
+export type HeldVersion = readonly [string, GossipVersion]
 
-export type NewsMessage =
+export type GossipMessage =
   /** This host read the item from the store or created it. */
-  | { readonly kind: 'learned'; readonly item: NewsItem }
+  | { readonly kind: 'learned'; readonly item: GossipItem }
   | { readonly kind: 'peerConnected'; readonly peer: EntryHostId }
   | { readonly kind: 'peerDisconnected'; readonly peer: EntryHostId }
   | {
       readonly kind: 'batchReceived'
       readonly peer: EntryHostId
-      readonly items: readonly NewsItem[]
+      readonly items: readonly GossipItem[]
     }
   /** The peer acknowledged the last batch; the next one may be sent. */
   | { readonly kind: 'batchTaken'; readonly peer: EntryHostId }
@@ -30,19 +30,19 @@
   | {
       readonly kind: 'fetched'
       readonly peer: EntryHostId
-      readonly items: readonly NewsItem[]
+      readonly items: readonly GossipItem[]
     }
   /** The fetch was answered or failed. */
   | { readonly kind: 'fetchEnded'; readonly peer: EntryHostId }
 
-export type NewsEffect =
+export type GossipEffect =
   /** A newer version of the item is held; components that depend on it should apply it. */
-  | { readonly kind: 'changed'; readonly item: NewsItem }
+  | { readonly kind: 'changed'; readonly item: GossipItem }
   /** Sends a batch; answered with `batchTaken` once the peer has received it. */
   | {
       readonly kind: 'sendBatch'
       readonly peer: EntryHostId
-      readonly items: readonly NewsItem[]
+      readonly items: readonly GossipItem[]
     }
   /** Requests the peer's versions in the buckets that differ. */
   | {
--- a/packages/coordination/src/gossipQueue.ts
+++ b/packages/coordination/src/gossipQueue.ts
@@ -2,25 +2,25 @@
  * Items that still have to be sent to one peer. The queue is bounded, so that a slow or stalled
  * receiver neither uses up the sender's memory nor delays other peers.
  */
-import { newsKey, type NewsItem } from '@nutmegcourse/protocol'
+import { gossipKey, type GossipItem } from '@nutmegcourse/protocol'
 
-export interface NewsQueueOptions {
+export interface GossipQueueOptions {
   /** Maximum number of queued items. */
   readonly limit: number
   /** Whether a newer item replaces the unsent older one of its key. */
   readonly replaceOlder: boolean
 }
 
-export const DEFAULT_GOSSIP_QUEUE: NewsQueueOptions = { limit: 4096, replaceOlder: true }
+export const DEFAULT_GOSSIP_QUEUE: GossipQueueOptions = { limit: 4096, replaceOlder: true }
 
-export class NewsQueue {
-  readonly #options: NewsQueueOptions
-  readonly #pending = new Map<string, NewsItem>()
+export class GossipQueue {
+  readonly #options: GossipQueueOptions
+  readonly #pending = new Map<string, GossipItem>()
   #arrivals = 0
   #replaced = 0
   #dropped = 0
 
-  constructor(options: NewsQueueOptions = DEFAULT_GOSSIP_QUEUE) {
+  constructor(options: GossipQueueOptions = DEFAULT_GOSSIP_QUEUE) {
     this.#options = options
   }
 
@@ -38,9 +38,9 @@
     return this.#dropped
   }
 
-  push(item: NewsItem): void {
+  push(item: GossipItem): void {
     this.#arrivals += 1
-    const key = this.#options.replaceOlder ? newsKey(item) : `${this.#arrivals}`
+    const key = this.#options.replaceOlder ? gossipKey(item) : `${this.#arrivals}`
     if (this.#pending.has(key)) {
       this.#replaced += 1
     } else if (this.#pending.size >= this.#options.limit) {
@@ -52,8 +52,8 @@
   }
 
   /** Removes and returns the oldest items, up to `limit`. */
-  take(limit: number): readonly NewsItem[] {
-    const taken: NewsItem[] = []
+  take(limit: number): readonly GossipItem[] {
+    const taken: GossipItem[] = []
     for (const [key, item] of this.#pending) {
       if (taken.length >= limit) break
       taken.push(item)
--- a/packages/coordination/src/membershipCore.ts
+++ b/packages/coordination/src/membershipCore.ts
@@ -4,7 +4,12 @@
  * indirectly; only the host itself can refute the failure, with a newer incarnation.
  * Sans-I/O: takes one message and the time, returns effects.
  */
-import { compareVersions, newsVersion, type Member, type NewsVersion } from '@nutmegcourse/protocol'
+import {
+  compareGossipVersions,
+  gossipVersion,
+  type Member,
+  type GossipVersion,
+} from '@nutmegcourse/protocol'
 import {
   assertNever,
   incarnation,
@@ -20,7 +25,7 @@
   MembershipMessage,
 } from './membershipMessages.js'
 import { DEFAULT_MEMBERSHIP_OPTIONS, type MembershipOptions } from './membershipOptions.js'
-import { chooseNeighbours, type HostPlace } from './neighbours.js'
+import { chooseNeighbours, type HostLocation } from './neighbours.js'
 import { IndirectProbes } from './indirectProbes.js'
 
 const LARGE_FLEET_HEARTBEAT_INTERVALS = 2
@@ -63,7 +68,7 @@
    * control traffic, and half as many still detect a stalled host within ten seconds; the links of a
    * killed one break at once.
    */
-  get heartbeatEvery(): number {
+  get heartbeatIntervalMultiple(): number {
     return this.#isLarge() ? LARGE_FLEET_HEARTBEAT_INTERVALS : 1
   }
 
@@ -85,7 +90,7 @@
    * just started knows no others yet. If it treated them as absent, it would take on the whole fleet's
    * work, including a connection to every backend server; until it has settled it relies on the list.
    */
-  workers(now: Milliseconds): readonly HostPlace[] {
+  workers(now: Milliseconds): readonly HostLocation[] {
     const workers = this.members().filter(
       member =>
         member.status === 'alive' && this.#listed.get(member.entryHost)?.state !== 'leaving',
@@ -94,7 +99,7 @@
     return [...workers, ...this.#listedButUnknown()]
   }
 
-  #listedButUnknown(): readonly HostPlace[] {
+  #listedButUnknown(): readonly HostLocation[] {
     return [...this.#listed.values()]
       .filter(host => host.state === 'live' && !this.#members.has(host.id))
       .map(({ id, zone, region }) => ({ entryHost: id, zone, region }))
@@ -113,7 +118,7 @@
   }
 
   /** The address of the host's agent; the host list goes first, as its address is valid from this zone. */
-  placeOf(host: EntryHostId): { readonly address: string; readonly port: number } | null {
+  endpointOf(host: EntryHostId): { readonly address: string; readonly port: number } | null {
     return this.#listed.get(host) ?? this.#members.get(host) ?? null
   }
 
@@ -180,7 +185,7 @@
   #receiveMember(member: Member, now: Milliseconds): readonly MembershipEffect[] {
     if (member.entryHost === this.#self.entryHost) return this.#refute(member)
     const known = this.#members.get(member.entryHost)
-    if (known !== undefined && compareVersions(versionOf(member), versionOf(known)) <= 0) {
+    if (known !== undefined && compareGossipVersions(versionOf(member), versionOf(known)) <= 0) {
       return []
     }
     return this.#accept(member, now)
@@ -255,7 +260,7 @@
 
   #silentPeers(now: Milliseconds): readonly EntryHostId[] {
     const { heartbeatIntervalMilliseconds, silentHeartbeats } = this.#options
-    const interval = heartbeatIntervalMilliseconds * this.heartbeatEvery
+    const interval = heartbeatIntervalMilliseconds * this.heartbeatIntervalMultiple
     const timeout = interval * silentHeartbeats
     return [...this.#lastHeardAt].filter(([, at]) => now - at > timeout).map(([peer]) => peer)
   }
@@ -351,8 +356,8 @@
   }
 
   /** In a small fleet all hosts, as failed ones may return; in a large one only the live hosts. */
-  #neighbourCandidates(): readonly HostPlace[] {
-    const known = new Map<EntryHostId, HostPlace>()
+  #neighbourCandidates(): readonly HostLocation[] {
+    const known = new Map<EntryHostId, HostLocation>()
     for (const [id, { zone, region }] of this.#listed) {
       known.set(id, { entryHost: id, zone, region })
     }
@@ -375,7 +380,7 @@
   }
 }
 
-const versionOf = (member: Member): NewsVersion => newsVersion({ kind: 'member', member })
+const versionOf = (member: Member): GossipVersion => gossipVersion({ kind: 'member', member })
 
 const changed = (change: MembershipChange, host: EntryHostId): MembershipEffect => ({
   kind: 'changed',
--- a/packages/coordination/src/neighbours.ts
+++ b/packages/coordination/src/neighbours.ts
@@ -7,7 +7,7 @@
 import type { AvailabilityZoneId, EntryHostId, RegionId } from '@nutmegcourse/shared'
 import { mixHashes, stableHash } from './stableHash.js'
 
-export interface HostPlace {
+export interface HostLocation {
   readonly entryHost: EntryHostId
   readonly zone: AvailabilityZoneId
   readonly region: RegionId
@@ -31,8 +31,8 @@
 }
 
 export function chooseNeighbours(
-  self: HostPlace,
-  others: readonly HostPlace[],
+  self: HostLocation,
+  others: readonly HostLocation[],
   options: NeighbourOptions = DEFAULT_NEIGHBOUR_OPTIONS,
 ): readonly EntryHostId[] {
   if (others.length <= options.fullMeshHosts) return others.map(host => host.entryHost)
--- a/packages/coordination/src/synchronous/primaryChange.ts
+++ b/packages/coordination/src/synchronous/primaryChange.ts
@@ -47,7 +47,7 @@
   pause(server: BackendServerId, term: Term): Promise<ServerReport | null>
   stepDown(server: BackendServerId, term: Term): Promise<ServerReport | null>
   /** Waits before a server is queried again. */
-  rest(): Promise<void>
+  waitBeforeRetry(): Promise<void>
 }
 
 export interface ChosenPrimary {
@@ -116,7 +116,7 @@
   ): Promise<ChosenPrimary | null> {
     const attempts = mayCatchUp ? CATCH_UP_ATTEMPTS : 1
     for (let asked = 0; asked < attempts; asked += 1) {
-      if (asked > 0) await this.#commands.rest()
+      if (asked > 0) await this.#commands.waitBeforeRetry()
       const report = await this.#commands.report(candidate.server)
       if (report?.pausedFor !== 0) return null
       const holdsAll = paused.every(other => isAtOrPast(report.received, other.report.received))
@@ -155,7 +155,7 @@
       if (report !== null && isAtOrPast(report.received, last.received)) {
         return ok(chosenPrimary({ ...candidate, report }, [], 'oldPrimarySteppedDown'))
       }
-      await this.#commands.rest()
+      await this.#commands.waitBeforeRetry()
     }
     return err({ kind: 'notCaughtUp', server: candidate.server })
   }
--- a/packages/coordination/src/synchronous/primarySuspicion.ts
+++ b/packages/coordination/src/synchronous/primarySuspicion.ts
@@ -45,7 +45,7 @@
 export const VOTE_LIFETIME_MILLISECONDS = 4000
 
 /** Hosts act one after the other by rank, so that the first has usually finished before the second starts. */
-export const RANK_PAUSE_MILLISECONDS = 120
+export const RANK_DELAY_MILLISECONDS = 120
 
 export interface PrimaryObservations {
   readonly primary: BackendServerId
@@ -73,21 +73,21 @@
   readonly #votes = new Map<string, Vote>()
 
   /** Records that another host gets no answer from the server. */
-  heardVote(host: string, primary: BackendServerId, now: Milliseconds): void {
+  recordVote(host: string, primary: BackendServerId, now: Milliseconds): void {
     this.#votes.set(host, { primary, at: now, reaches: false })
   }
 
   /** Records that another host reaches the server. */
-  heardDenial(host: string, primary: BackendServerId, now: Milliseconds): void {
+  recordDenial(host: string, primary: BackendServerId, now: Milliseconds): void {
     this.#votes.set(host, { primary, at: now, reaches: true })
   }
 
   /** Whether another host has voted against the server within the lifetime of a vote. */
-  isAccused(primary: BackendServerId, now: Milliseconds): boolean {
+  isSuspected(primary: BackendServerId, now: Milliseconds): boolean {
     return this.#count(primary, false, now) > 0
   }
 
-  heardNoVote(host: string): void {
+  removeVote(host: string): void {
     this.#votes.delete(host)
   }
 
@@ -134,7 +134,7 @@
   observations.silentMilliseconds >= SUSPECT_AFTER_MILLISECONDS ||
   observations.refusals >= REFUSALS_TO_SUSPECT
 
-const rankDelay = (rank: number): number => rank * RANK_PAUSE_MILLISECONDS
+const rankDelay = (rank: number): number => rank * RANK_DELAY_MILLISECONDS
 
 const quorum = (hosts: number): number =>
   Math.min(Math.max(MINIMUM_QUORUM, Math.ceil(hosts * QUORUM_SHARE)), Math.max(hosts, 1))
--- a/packages/coordination/src/watchers.ts
+++ b/packages/coordination/src/watchers.ts
@@ -5,7 +5,7 @@
  */
 import type { Watcher } from './failoverMessages.js'
 import type { AvailabilityZoneId, DatabaseId, RegionId } from '@nutmegcourse/shared'
-import type { HostPlace } from './neighbours.js'
+import type { HostLocation } from './neighbours.js'
 import { mixHashes, stableHash } from './stableHash.js'
 
 export const DEFAULT_WATCHER_COUNT = 3
@@ -15,7 +15,7 @@
   readonly region: RegionId
 }
 
-interface Candidate extends HostPlace {
+interface Candidate extends HostLocation {
   readonly hash: number
 }
 
@@ -28,7 +28,7 @@
   readonly #byZone = new Map<AvailabilityZoneId, Candidate[]>()
   readonly #watcherCount: number
 
-  constructor(hosts: readonly HostPlace[], watcherCount = DEFAULT_WATCHER_COUNT) {
+  constructor(hosts: readonly HostLocation[], watcherCount = DEFAULT_WATCHER_COUNT) {
     this.#watcherCount = watcherCount
     for (const host of hosts) {
       const candidates = this.#byZone.get(host.zone) ?? []
--- a/packages/host/__tests__/newsBudget.spec.ts
+++ b/packages/host/__tests__/changeDelayBudget.spec.ts
@@ -11,7 +11,7 @@
   StoreLink,
 } from '@nutmegcourse/protocol'
 import type { Result } from 'neverthrow'
-import { changeDelayBudget, worstCaseChangeDelay } from '../src/newsBudget.js'
+import { changeDelayBudget, worstCaseChangeDelay } from '../src/changeDelayBudget.js'
 import { StoreFollower } from '../src/storeFollower.js'
 import { changeFeedWith, followerContext } from './support/followerContext.js'
 
--- a/packages/host/__tests__/zoneNews.spec.ts
+++ b/packages/host/__tests__/changeFeed.spec.ts
@@ -3,10 +3,10 @@
 import { err, ok } from 'neverthrow'
 import type { DirectoryChange, RevisedChange, StoreLink } from '@nutmegcourse/protocol'
 import { VirtualClock, milliseconds } from '@nutmegcourse/shared'
-import { NewsDesk } from '../src/newsDesk.js'
-import type { NewsAnswer, NewsQuestion } from '../src/newsMessages.js'
+import { ChangeFeedServer } from '../src/changeFeedServer.js'
+import type { ChangeFeedResponse, ChangeFeedRequest } from '../src/changeFeedMessages.js'
 import { StoreFollower } from '../src/storeFollower.js'
-import type { NewsPeer } from '../src/zoneNews.js'
+import type { ChangeFeedSource } from '../src/changeFeedReader.js'
 import { changeFeedWith, followerContext } from './support/followerContext.js'
 
 const record = (key: string, revision: number): RevisedChange => ({
@@ -18,16 +18,16 @@
 })
 
 const UPDATE = { kind: 'news', isWhole: false, madeAgo: 0, knownAgo: 0, waited: 0 } as const
-const request = (after: number, wait: number, isAwaited = false): NewsQuestion => ({
+const request = (after: number, wait: number, isAwaited = false): ChangeFeedRequest => ({
   after,
   wait,
   isAwaited,
 })
 
-const DECLINED: NewsAnswer = { kind: 'declined' }
+const DECLINED: ChangeFeedResponse = { kind: 'declined' }
 
 /** The responses of the zone's hosts, in their order; null: none within the limit. */
-type Answers = readonly (NewsAnswer | null)[]
+type Answers = readonly (ChangeFeedResponse | null)[]
 
 interface FollowResult {
   readonly from: readonly string[]
@@ -43,11 +43,11 @@
 async function follow(answers: Answers, takes = 0): Promise<FollowResult> {
   const clock = new VirtualClock(1000)
   const from: string[] = []
-  const peers = answers.map((answer, index): NewsPeer => {
+  const peers = answers.map((answer, index): ChangeFeedSource => {
     const name = `host-${index + 1}`
     return {
       name,
-      askNews: () => {
+      requestChanges: () => {
         from.push(name)
         clock.advance(takes)
         return Promise.resolve(answer)
@@ -169,9 +169,9 @@
   it('asks the next host at the next watch after the first did not respond', async () => {
     const context = followerContext(new VirtualClock(1000))
     const asked: string[] = []
-    const peer = (name: string, answer: NewsAnswer | null): NewsPeer => ({
+    const peer = (name: string, answer: ChangeFeedResponse | null): ChangeFeedSource => ({
       name,
-      askNews: () => {
+      requestChanges: () => {
         asked.push(name)
         return Promise.resolve(answer)
       },
@@ -186,7 +186,8 @@
 })
 
 describe('a host that serves the change feed', () => {
-  const serverAt = (clock: VirtualClock): NewsDesk => new NewsDesk(followerContext(clock))
+  const serverAt = (clock: VirtualClock): ChangeFeedServer =>
+    new ChangeFeedServer(followerContext(clock))
   const NOW = milliseconds(0)
   const LISTED = { changes: [], revision: 10 }
   const AGE = { knownAt: NOW, madeSince: NOW }
@@ -203,7 +204,7 @@
     expect(await answer).toEqual({ ...UPDATE, changes: [record('b', 12)], revision: 12 })
   })
 
-  const SUSPENSIONS: Readonly<Record<string, (server: NewsDesk) => void>> = {
+  const SUSPENSIONS: Readonly<Record<string, (server: ChangeFeedServer) => void>> = {
     'loses the store': server => {
       server.suspend()
     },
@@ -225,7 +226,7 @@
     })
   }
 
-  const FAILURES: readonly (readonly [string, number, NewsAnswer['kind']])[] = [
+  const FAILURES: readonly (readonly [string, number, ChangeFeedResponse['kind']])[] = [
     ['keeps requests pending when one watch is cut', 1, 'news'],
     ['declines requests after two consecutive cuts', 2, 'declined'],
   ]
--- a/packages/host/__tests__/changeOfPrimary.spec.ts
+++ b/packages/host/__tests__/changeOfPrimary.spec.ts
@@ -2,9 +2,16 @@
 import { expect } from 'earl'
 import { StoreConnection, freePorts } from '@nutmegcourse/stand-ins'
 import type { Caller } from './support/caller.js'
-import { A, B, P, inScene, type Scene, type SceneHost } from './support/scene.js'
+import {
+  A,
+  B,
+  P,
+  withHostFixture,
+  type HostFixture,
+  type FixtureHost,
+} from './support/hostFixture.js'
 
-const eventsOf = (hosts: readonly SceneHost[], event: string): number =>
+const eventsOf = (hosts: readonly FixtureHost[], event: string): number =>
   hosts.reduce((sum, { lines }) => sum + lines.filter(line => line.event === event).length, 0)
 
 /** Longer than a change of primary takes in these tests. */
@@ -15,7 +22,7 @@
   const failures: string[] = []
   const limit = performance.now() + span
   while (performance.now() < limit) {
-    const outcome = await caller.tell('write 1')
+    const outcome = await caller.outcomeOf('write 1')
     if (outcome === 'done') return failures
     failures.push(outcome)
     await new Promise(resolve => setTimeout(resolve, 10))
@@ -26,7 +33,7 @@
 describe('a change of primary by entry hosts', () => {
   // After each of these failures callers' writes must succeed again within seconds, at a server that holds
   // all acknowledged writes. No write may be reported as not kept when it is.
-  const ways: readonly (readonly [string, (scene: Scene) => void])[] = [
+  const ways: readonly (readonly [string, (scene: HostFixture) => void])[] = [
     [
       'crashes',
       scene => {
@@ -53,10 +60,10 @@
   ]
   for (const [name, fail] of ways) {
     it(`the primary ${name}`, async () => {
-      await inScene(3, async (scene, [host]) => {
+      await withHostFixture(3, async (scene, [host]) => {
         if (host === undefined) return
         const caller = await scene.caller(host, 'latest')
-        await caller.tell('write 1')
+        await caller.outcomeOf('write 1')
         fail(scene)
         await writeUntilDone(caller)
         expect(scene.group.promotions >= 1).toEqual(true)
@@ -70,14 +77,14 @@
   // connections became free every few milliseconds.
   it('sends orders to replicas that accept no further connection', async () => {
     const options = { connectionLimit: 1 }
-    await inScene(1, fillReplicas, options)
-    async function fillReplicas(scene: Scene, [host]: readonly SceneHost[]): Promise<void> {
+    await withHostFixture(1, fillReplicas, options)
+    async function fillReplicas(scene: HostFixture, [host]: readonly FixtureHost[]): Promise<void> {
       if (host === undefined) return
       scene.dialer.hooks.workMilliseconds = 30
       let isOver = false
       const readers = Array.from({ length: 8 }, async () => {
         const caller = await scene.caller(host, 'bounded')
-        while (!isOver) await caller.tell('read 1')
+        while (!isOver) await caller.outcomeOf('read 1')
       })
       await new Promise(resolve => setTimeout(resolve, 300))
       scene.group.server(P).isSilent = true
@@ -95,16 +102,19 @@
   // off itself, while the two other hosts on its side had no vote. Now they vote too.
   it('is not delayed when the other owners are cut off together with the primary', async () => {
     const options = { connectionLimit: 22, relayPorts: await freePorts(9) }
-    await inScene(9, isolatePrimary, options)
-    async function isolatePrimary(scene: Scene, hosts: readonly SceneHost[]): Promise<void> {
-      const isOwner = ({ host }: SceneHost): boolean => host.find('own')?.desk.isOwned === true
+    await withHostFixture(9, isolatePrimary, options)
+    async function isolatePrimary(
+      scene: HostFixture,
+      hosts: readonly FixtureHost[],
+    ): Promise<void> {
+      const isOwner = ({ host }: FixtureHost): boolean => host.find('own')?.service.isOwned === true
       await scene.until(() => hosts.filter(isOwner).length === 3, 'three hosts own the service')
       const [left] = hosts.filter(isOwner)
       const others = hosts.filter(each => !isOwner(each))
       const outside = new Set([left, ...others.slice(0, 2)])
       for (const each of hosts) {
-        if (outside.has(each)) scene.cutOff(each, P)
-        else each.store.mood = 'silent'
+        if (outside.has(each)) scene.partition(each, P)
+        else each.store.behaviour = 'silent'
       }
       await scene.until(() => scene.group.promotions > 0, 'another server leads', 2000)
     }
@@ -114,11 +124,11 @@
   // received work, so no host probed it. Callers were refused for seconds, until the store removed the server's
   // entry.
   it('detects a silent primary under load', async () => {
-    await inScene(3, async (scene, hosts) => {
+    await withHostFixture(3, async (scene, hosts) => {
       const outcomes: Promise<string>[] = []
       const load = setInterval(() => {
         for (const host of hosts) {
-          outcomes.push(scene.caller(host, 'latest').then(caller => caller.tell('write 1')))
+          outcomes.push(scene.caller(host, 'latest').then(caller => caller.outcomeOf('write 1')))
         }
       }, 20)
       await new Promise(resolve => setTimeout(resolve, 200))
@@ -135,17 +145,17 @@
   // The primary announces that it is leaving. It serves until another server leads, so that callers see at most a
   // few refused statements, whose retries succeed within the time limit of one statement.
   it('replaces a leaving primary without an interruption for callers', async () => {
-    await inScene(3, async (scene, [host]) => {
+    await withHostFixture(3, async (scene, [host]) => {
       if (host === undefined) return
       const caller = await scene.caller(host, 'latest')
-      scene.list(P, { isLeaving: true })
+      scene.listServer(P, { isLeaving: true })
       const limit = performance.now() + 4000
       while (eventsOf(scene.hosts, 'change_done') === 0 && performance.now() < limit) {
-        expect(await caller.tell('write 1')).toEqual('done')
+        expect(await caller.outcomeOf('write 1')).toEqual('done')
         await new Promise(resolve => setTimeout(resolve, 5))
       }
       expect(scene.group.primary.id === P).toEqual(false)
-      expect(await caller.tell('write 1')).toEqual('done')
+      expect(await caller.outcomeOf('write 1')).toEqual('done')
       for (const server of [A, B]) expect(scene.group.server(server).pausedFor).toEqual(0)
     })
   })
@@ -154,12 +164,12 @@
   // its claim. If the first overwrote that claim, both would pause and promote servers concurrently, and replicas
   // would stay paused forever.
   it('does not overwrite a claim that was made while it prepared its own', async () => {
-    await inScene(0, async scene => {
+    await withHostFixture(0, async scene => {
       const slow = new SlowLeases(scene.store)
       const hosts = [scene.add('host-1', 1000, slow), scene.add('host-2')]
       await scene.ready()
       slow.holdLeases()
-      scene.list(P, { isLeaving: true })
+      scene.listServer(P, { isLeaving: true })
       await scene.until(() => eventsOf(hosts, 'change_claimed') === 1, 'one host has claimed')
       slow.releaseLeases()
       await scene.until(() => eventsOf(hosts, 'change_done') >= 1, 'the change is done')
@@ -172,13 +182,13 @@
   // The host that changes the primary dies between pausing the replicas and the promotion. Writes would hang
   // forever unless another host continued the change after the lease of the claim has ended.
   it('continues a change whose host has died', async () => {
-    await inScene(3, async (scene, hosts) => {
+    await withHostFixture(3, async (scene, hosts) => {
       const [host] = hosts
       if (host === undefined) return
       const caller = await scene.caller(host, 'latest')
       scene.group.pause(scene.group.server(A), 2)
       scene.group.pause(scene.group.server(B), 2)
-      const lease = scene.store.grant(300)
+      const lease = scene.store.grantLease(300)
       const value = JSON.stringify({ phase: 'claimed', holder: 'gone', attempt: 'x' })
       const key = 'change/db-1'
       scene.store.change({ expected: [], puts: [{ key, value, lease }], removes: [] })
@@ -191,7 +201,7 @@
   // The platform does not answer the order to promote, and carries it out later. The order is repeated until the
   // promotion is observed; a late execution must change nothing more.
   it('repeats an unanswered order to promote without a second promotion', async () => {
-    await inScene(2, async (scene, hosts) => {
+    await withHostFixture(2, async (scene, hosts) => {
       let orders = 0
       scene.promotionFault = () => {
         orders += 1
@@ -204,22 +214,22 @@
       await writeUntilDone(caller)
       await new Promise(resolve => setTimeout(resolve, 500))
       expect(scene.group.promotions).toEqual(1)
-      expect(await caller.tell('write 1')).toEqual('done')
+      expect(await caller.outcomeOf('write 1')).toEqual('done')
     })
   })
 
   // The store's answer to a claim is lost. The host must determine whether it holds the claim. It must neither
   // conflict with its own claim nor leave the service without a primary.
   it('determines whether an unanswered claim was made', async () => {
-    await inScene(2, async (scene, hosts) => {
+    await withHostFixture(2, async (scene, hosts) => {
       const [first, second] = hosts
       if (first === undefined || second === undefined) return
       const caller = await scene.caller(second, 'latest')
       scene.crash(P)
-      first.store.mood = 'losingAnswers'
+      first.store.behaviour = 'losingAnswers'
       await writeUntilDone(caller, 9000)
-      first.store.mood = 'well'
-      expect(await caller.tell('write 1')).toEqual('done')
+      first.store.behaviour = 'well'
+      expect(await caller.outcomeOf('write 1')).toEqual('done')
     })
   })
 })
--- a/packages/host/__tests__/changeUrgency.spec.ts
+++ b/packages/host/__tests__/changeUrgency.spec.ts
@@ -3,7 +3,7 @@
 import { availabilityZoneId, backendServerId } from '@nutmegcourse/shared'
 import type { BackendServerEntry, DirectoryChange } from '@nutmegcourse/protocol'
 import { isUrgent, type ServiceInterest } from '../src/changeUrgency.js'
-import { CONFIGURATION } from './support/scene.js'
+import { CONFIGURATION } from './support/hostFixture.js'
 
 // A primary is cut off from a few hosts of a large fleet. Each of its owners writes a vote to the store, and every
 // vote ended the watch of every host: thousands of calls for votes that only the owners count. Hosts that do not
--- a/packages/host/__tests__/customers.spec.ts
+++ b/packages/host/__tests__/customers.spec.ts
@@ -4,7 +4,12 @@
 import type { Customer, OperationLimit } from '@nutmegcourse/protocol'
 import { freePorts } from '@nutmegcourse/stand-ins'
 import { Caller } from './support/caller.js'
-import { CONFIGURATION, inScene, type Scene, type SceneHost } from './support/scene.js'
+import {
+  CONFIGURATION,
+  withHostFixture,
+  type HostFixture,
+  type FixtureHost,
+} from './support/hostFixture.js'
 
 const customer = (
   name: string,
@@ -15,8 +20,10 @@
 const ALFA = customer('alfa', ['key-of-alfa'])
 const BRAVO = customer('bravo', ['key-of-bravo'])
 
-const withOneHost = (scenario: (fixture: Scene, host: SceneHost) => Promise<void>): Promise<void> =>
-  inScene(
+const withOneHost = (
+  scenario: (fixture: HostFixture, host: FixtureHost) => Promise<void>,
+): Promise<void> =>
+  withHostFixture(
     1,
     async (fixture, [host]) => {
       if (host !== undefined) await scenario(fixture, host)
@@ -25,13 +32,13 @@
   )
 
 async function changeCustomers(
-  fixture: Scene,
-  hosts: readonly SceneHost[],
+  fixture: HostFixture,
+  hosts: readonly FixtureHost[],
   customers: readonly Customer[],
 ): Promise<void> {
   const version = CONFIGURATION.version + 1
   fixture.configure({ version, customers })
-  const hasTaken = ({ lines }: SceneHost): boolean =>
+  const hasTaken = ({ lines }: FixtureHost): boolean =>
     lines.some(({ event, fields }) => event === 'configuration_taken' && fields.version === version)
   await fixture.until(() => hosts.every(hasTaken), 'every host has applied the configuration')
 }
@@ -60,7 +67,7 @@
         'the route is public',
       )
       const caller = await fixture.caller(host, 'own', 'key-of-nobody')
-      expect(await caller.tell('read 1')).toEqual('done')
+      expect(await caller.outcomeOf('read 1')).toEqual('done')
     })
   })
 
@@ -71,9 +78,9 @@
       const unaffected = await fixture.caller(host, 'own', 'key-of-bravo')
       await changeCustomers(fixture, [host], [customer('alfa', []), BRAVO])
       const outcomes = [
-        await revoked.tell('read 1'),
-        await revoked.tell('write 1'),
-        await unaffected.tell('read 1'),
+        await revoked.outcomeOf('read 1'),
+        await revoked.outcomeOf('write 1'),
+        await unaffected.outcomeOf('read 1'),
       ]
       expect(outcomes).toEqual(['unknownKey', 'unknownKey', 'done'])
     })
@@ -88,9 +95,12 @@
     it(`that was ${name} aborts open transactions`, async () => {
       await withOneHost(async (fixture, host) => {
         const caller = await fixture.caller(host, 'own', 'key-of-alfa')
-        expect([await caller.tell('begin'), await caller.tell('write 1')]).toEqual(['done', 'done'])
+        expect([await caller.outcomeOf('begin'), await caller.outcomeOf('write 1')]).toEqual([
+          'done',
+          'done',
+        ])
         await changeCustomers(fixture, [host], customers)
-        expect(await caller.tell('commit')).toEqual('aborted')
+        expect(await caller.outcomeOf('commit')).toEqual('aborted')
         expect(fixture.group.acknowledged.length).toEqual(0)
       })
     })
@@ -108,17 +118,20 @@
         customers: [ALFA],
         ...(strictRevocation === undefined ? {} : { strictRevocation }),
       }
-      await inScene(1, withoutStore, options)
-      async function withoutStore(fixture: Scene, [host]: readonly SceneHost[]): Promise<void> {
+      await withHostFixture(1, withoutStore, options)
+      async function withoutStore(
+        fixture: HostFixture,
+        [host]: readonly FixtureHost[],
+      ): Promise<void> {
         if (host === undefined) return
         const caller = await fixture.caller(host, 'own', 'key-of-alfa')
-        expect(await caller.tell('read 1')).toEqual('done')
-        host.store.mood = 'refusing'
+        expect(await caller.outcomeOf('read 1')).toEqual('done')
+        host.store.behaviour = 'refusing'
         await new Promise(resolve => setTimeout(resolve, 4000))
-        expect(await caller.tell('read 1')).toEqual(outcome)
-        host.store.mood = 'well'
+        expect(await caller.outcomeOf('read 1')).toEqual(outcome)
+        host.store.behaviour = 'well'
         await new Promise(resolve => setTimeout(resolve, 1500))
-        expect(await caller.tell('read 1')).toEqual('done')
+        expect(await caller.outcomeOf('read 1')).toEqual('done')
       }
     })
   }
@@ -131,8 +144,11 @@
     const names = ['alfa', 'bravo', 'carol', 'delta', 'echo', 'foxtrot', 'golf', 'hotel']
     const customers = names.map(name => customer(name, [`key-of-${name}`]))
     const options = { customers, connectionLimit: 12, relayPorts: await freePorts(3) }
-    await inScene(3, manyCustomers, options)
-    async function manyCustomers(fixture: Scene, hosts: readonly SceneHost[]): Promise<void> {
+    await withHostFixture(3, manyCustomers, options)
+    async function manyCustomers(
+      fixture: HostFixture,
+      hosts: readonly FixtureHost[],
+    ): Promise<void> {
       const ownerOf = new Map<string, string>()
       const work = hosts.flatMap((host, index) =>
         names.map(async name => {
@@ -140,13 +156,15 @@
           for (let count = 0; count < 6; count += 1) {
             const id = `${name}-${String(index)}-${String(count)}`
             ownerOf.set(id, name)
-            expect(await caller.tell(count % 2 === 0 ? 'write 1' : 'read 1', id)).toEqual('done')
+            expect(await caller.outcomeOf(count % 2 === 0 ? 'write 1' : 'read 1', id)).toEqual(
+              'done',
+            )
           }
         }),
       )
       await Promise.all(work)
-      expect(fixture.group.ranFor.length >= names.length * 18).toEqual(true)
-      for (const { id, customer: ranFor } of fixture.group.ranFor) {
+      expect(fixture.group.statementCustomers.length >= names.length * 18).toEqual(true)
+      for (const { id, customer: ranFor } of fixture.group.statementCustomers) {
         expect([id, ranFor]).toEqual([id, customerName(ownerOf.get(id) ?? '')])
       }
       for (const server of fixture.group.servers.values()) {
@@ -160,13 +178,16 @@
   it('are replaced at most once for each statement that needs one', async () => {
     const names = ['alfa', 'bravo', 'carol', 'delta', 'echo', 'foxtrot', 'golf']
     const customers = names.map(name => customer(name, [`key-of-${name}`]))
-    await inScene(1, oneAfterTheOther, { customers, connectionLimit: 10 })
-    async function oneAfterTheOther(fixture: Scene, [host]: readonly SceneHost[]): Promise<void> {
+    await withHostFixture(1, oneAfterTheOther, { customers, connectionLimit: 10 })
+    async function oneAfterTheOther(
+      fixture: HostFixture,
+      [host]: readonly FixtureHost[],
+    ): Promise<void> {
       if (host === undefined) return
       const callers: Caller[] = []
       for (const name of names) callers.push(await fixture.caller(host, 'latest', `key-of-${name}`))
       const openedBefore = fixture.dialer.links.size
-      for (const caller of callers) expect(await caller.tell('write 1')).toEqual('done')
+      for (const caller of callers) expect(await caller.outcomeOf('write 1')).toEqual('done')
       expect(fixture.dialer.links.size - openedBefore <= names.length).toEqual(true)
     }
   })
@@ -175,19 +196,22 @@
   // were overtaken each time a connection was released.
   it('of a busy customer are released for requests of others', async () => {
     const options = { customers: [ALFA, BRAVO], connectionLimit: 4 }
-    await inScene(1, busyCustomer, options)
-    async function busyCustomer(fixture: Scene, [host]: readonly SceneHost[]): Promise<void> {
+    await withHostFixture(1, busyCustomer, options)
+    async function busyCustomer(
+      fixture: HostFixture,
+      [host]: readonly FixtureHost[],
+    ): Promise<void> {
       if (host === undefined) return
       fixture.dialer.hooks.workMilliseconds = 20
       let isOver = false
       const busy = Array.from({ length: 12 }, async () => {
         const caller = await fixture.caller(host, 'latest', 'key-of-alfa')
-        while (!isOver) await caller.tell('write 1')
+        while (!isOver) await caller.outcomeOf('write 1')
       })
       await new Promise(resolve => setTimeout(resolve, 200))
       const caller = await fixture.caller(host, 'latest', 'key-of-bravo')
       const askedAt = performance.now()
-      const outcome = await caller.tell('write 1')
+      const outcome = await caller.outcomeOf('write 1')
       const elapsed = performance.now() - askedAt
       isOver = true
       await Promise.all(busy)
@@ -202,18 +226,18 @@
   const LIMITED = customer('alfa', ['key-of-alfa'], LIMIT)
 
   const withThreeHosts = async (
-    scenario: (fixture: Scene, hosts: readonly SceneHost[]) => Promise<void>,
+    scenario: (fixture: HostFixture, hosts: readonly FixtureHost[]) => Promise<void>,
   ): Promise<void> =>
-    inScene(3, scenario, {
+    withHostFixture(3, scenario, {
       customers: [LIMITED, BRAVO],
       limitTolerance: TOLERANCE,
       relayPorts: await freePorts(3),
     })
 
-  async function countServed(fixture: Scene, host: SceneHost, key: string, times: number) {
+  async function countServed(fixture: HostFixture, host: FixtureHost, key: string, times: number) {
     const caller = await fixture.caller(host, 'own', key)
     const outcomes: string[] = []
-    for (let count = 0; count < times; count += 1) outcomes.push(await caller.tell('read 1'))
+    for (let count = 0; count < times; count += 1) outcomes.push(await caller.outcomeOf('read 1'))
     return outcomes.filter(each => each === 'done').length
   }
 
@@ -236,13 +260,16 @@
     await withThreeHosts(async (fixture, [host]) => {
       if (host === undefined) return
       const caller = await fixture.caller(host, 'own', 'key-of-alfa')
-      expect([await caller.tell('begin'), await caller.tell('read 1')]).toEqual(['done', 'done'])
+      expect([await caller.outcomeOf('begin'), await caller.outcomeOf('read 1')]).toEqual([
+        'done',
+        'done',
+      ])
       for (let count = 0; count < 40; count += 1) {
-        expect(await caller.tell('read 1')).toEqual('done')
+        expect(await caller.outcomeOf('read 1')).toEqual('done')
       }
-      expect(await caller.tell('commit')).toEqual('done')
+      expect(await caller.outcomeOf('commit')).toEqual('done')
       for (;;) {
-        const { answer } = await caller.ask('read 1')
+        const { answer } = await caller.run('read 1')
         if (answer.kind !== 'refused') continue
         expect(answer.refusal).toEqual('overLimit')
         expect(/retry_after_ms=\d+$/.test(answer.detail)).toEqual(true)
@@ -267,14 +294,14 @@
   // A key in a log line or in a message between hosts could be used by anyone who reads it.
   it('do not appear in log lines', async () => {
     const options = { customers: [ALFA, BRAVO], relayPorts: await freePorts(2) }
-    await inScene(
+    await withHostFixture(
       2,
       async (fixture, hosts) => {
         for (const host of hosts) {
           await new Caller(host.host).connect('own', 'key-of-nobody')
           const caller = await fixture.caller(host, 'own', 'key-of-alfa')
-          await caller.tell('read 1')
-          await caller.tell('write 1')
+          await caller.outcomeOf('read 1')
+          await caller.outcomeOf('write 1')
         }
         await changeCustomers(fixture, hosts, [BRAVO])
         const logged = JSON.stringify(hosts.map(({ lines }) => lines))
--- a/packages/host/__tests__/fleetStart.spec.ts
+++ b/packages/host/__tests__/fleetStart.spec.ts
@@ -2,11 +2,11 @@
 import { expect } from 'earl'
 import { hostKey } from '@nutmegcourse/coordination'
 import { freePorts } from '@nutmegcourse/stand-ins'
-import { inScene, type Scene, type SceneHost } from './support/scene.js'
+import { withHostFixture, type HostFixture, type FixtureHost } from './support/hostFixture.js'
 
 const wait = (span: number): Promise<void> => new Promise(resolve => setTimeout(resolve, span))
 
-const callsOf = ({ store }: Scene, name: string): number => store.calls.get(name) ?? 0
+const callsOf = ({ store }: HostFixture, name: string): number => store.callCounts.get(name) ?? 0
 
 const HOSTS = 24
 /** Longer than hosts take to learn of each other. */
@@ -15,22 +15,22 @@
 /** Runs a test with one registered host; `ports` are the relay ports of its incarnations, in order. */
 async function withRegisteredHost(
   ports: readonly number[],
-  run: (scene: Scene, first: SceneHost, key: string) => Promise<void>,
+  run: (scene: HostFixture, first: FixtureHost, key: string) => Promise<void>,
 ): Promise<void> {
-  const start = async (scene: Scene, [first]: readonly SceneHost[]): Promise<void> => {
+  const start = async (scene: HostFixture, [first]: readonly FixtureHost[]): Promise<void> => {
     if (first === undefined) return
     const key = hostKey(first.host.name)
     await scene.until(() => scene.store.record(key) !== null, 'it is registered')
     await run(scene, first, key)
   }
-  await inScene(1, start, { relayPorts: ports })
+  await withHostFixture(1, start, { relayPorts: ports })
 }
 
 describe('the start of hosts', () => {
   // Guards against a start in which each host makes several watches before it knows through which host to follow.
   it('costs few calls to the store when the whole fleet starts for the first time', async () => {
     const options = { relayPorts: await freePorts(HOSTS), isFirstStart: true }
-    await inScene(
+    await withHostFixture(
       HOSTS,
       async scene => {
         await wait(SETTLE_MILLISECONDS)
--- a/packages/host/__tests__/hostLife.spec.ts
+++ b/packages/host/__tests__/hostLife.spec.ts
@@ -2,19 +2,25 @@
 import { expect } from 'earl'
 import { StoreConnection } from '@nutmegcourse/stand-ins'
 import { Caller } from './support/caller.js'
-import { CONFIGURATION, P, inScene, type Scene, type SceneHost } from './support/scene.js'
+import {
+  CONFIGURATION,
+  P,
+  withHostFixture,
+  type HostFixture,
+  type FixtureHost,
+} from './support/hostFixture.js'
 
 const STALL_MILLISECONDS = 400
 
 const wait = (span: number): Promise<void> => new Promise(resolve => setTimeout(resolve, span))
 
 /** A caller that has been idle in a transaction for longer than the idle timeout. */
-async function idleInTransaction(fixture: Scene, host: SceneHost): Promise<Caller> {
+async function idleInTransaction(fixture: HostFixture, host: FixtureHost): Promise<Caller> {
   fixture.store.configure({ ...CONFIGURATION, version: 2, idleTransactionMilliseconds: 100 })
   await fixture.until(() => host.host.idleTransactionMilliseconds === 100, 'it is in force')
   const caller = await fixture.caller(host, 'own')
-  await caller.tell('begin')
-  await caller.tell('write 1')
+  await caller.outcomeOf('begin')
+  await caller.outcomeOf('write 1')
   await wait(200)
   return caller
 }
@@ -23,22 +29,22 @@
   // The host starts while the store is unavailable. It must not report that it is ready, and must reject a caller
   // before the caller's connection timeout; once the store answers, it must serve normally.
   it('starts while the store is unavailable and serves once it answers', async () => {
-    await inScene(0, async fixture => {
+    await withHostFixture(0, async fixture => {
       const store = new StoreConnection(fixture.store)
-      store.mood = 'refusing'
+      store.behaviour = 'refusing'
       const added = fixture.add('host-1', 1000, store)
       const caller = new Caller(added.host)
       expect(added.host.isReady).toEqual(false)
       expect(await caller.connect('own')).toEqual('tooManyCallers')
-      store.mood = 'well'
+      store.behaviour = 'well'
       await fixture.ready()
-      expect(await (await fixture.caller(added, 'own')).tell('write 1')).toEqual('done')
+      expect(await (await fixture.caller(added, 'own')).outcomeOf('write 1')).toEqual('done')
     })
   })
 
   // Guards against stalls that are not logged: other hosts consider a stalled host lost, and the cause was not visible.
   it('logs a stall of its process and how long it took', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const until = performance.now() + STALL_MILLISECONDS
       while (performance.now() < until);
@@ -55,12 +61,15 @@
 
   // The store stops answering. Callers must not be affected.
   it('continues to serve with its last state while the store is unavailable', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const caller = await fixture.caller(host, 'own')
-      host.store.mood = 'silent'
+      host.store.behaviour = 'silent'
       await wait(300)
-      expect([await caller.tell('write 1'), await caller.tell('read 1')]).toEqual(['done', 'done'])
+      expect([await caller.outcomeOf('write 1'), await caller.outcomeOf('read 1')]).toEqual([
+        'done',
+        'done',
+      ])
       expect(host.host.isReady).toEqual(true)
     })
   })
@@ -68,14 +77,14 @@
   // The store discards the history after the host's revision while the host is disconnected. Afterwards changes and
   // removals made meanwhile must be applied, and no older configuration may replace a newer one.
   it('lists the store again when the history has been compacted', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
-      host.store.mood = 'refusing'
+      host.store.behaviour = 'refusing'
       await wait(50)
       const routes = CONFIGURATION.routes.filter(({ database }) => database !== 'bounded')
       fixture.store.configure({ ...CONFIGURATION, version: 9, routes })
       fixture.store.compact()
-      host.store.mood = 'well'
+      host.store.behaviour = 'well'
       await fixture.until(
         () => host.host.find('bounded') === null,
         'the new configuration is in force',
@@ -90,35 +99,35 @@
 
   // A route is removed while a session is open. A running transaction may still commit; the next statement is refused.
   it('applies the removal of a route from the next transaction on', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const caller = await fixture.caller(host, 'own')
-      await caller.tell('begin')
-      await caller.tell('write 1')
+      await caller.outcomeOf('begin')
+      await caller.outcomeOf('write 1')
       fixture.store.configure({ ...CONFIGURATION, version: 2, routes: [] })
       await fixture.until(() => host.host.find('own') === null, 'the route is gone')
-      expect(await caller.tell('commit')).toEqual('done')
-      expect(await caller.tell('read 1')).toEqual('unknownDatabase')
+      expect(await caller.outcomeOf('commit')).toEqual('done')
+      expect(await caller.outcomeOf('read 1')).toEqual('unknownDatabase')
     })
   })
 
   // On a planned stop idle sessions are closed, running statements finish, and open transactions are rolled back after
   // half of the grace period.
   it('closes idle sessions and lets short transactions commit when it stops', async () => {
-    await inScene(0, async fixture => {
+    await withHostFixture(0, async fixture => {
       const added = fixture.add('host-1', 2000)
       await fixture.ready()
       const idle = await fixture.caller(added, 'own')
       const brief = await fixture.caller(added, 'own')
       const endless = await fixture.caller(added, 'own')
       for (const caller of [brief, endless]) {
-        await caller.tell('begin')
-        await caller.tell('write 1')
+        await caller.outcomeOf('begin')
+        await caller.outcomeOf('write 1')
       }
       const stopped = added.host.stop()
       expect(added.host.isReady).toEqual(false)
       await wait(200)
-      expect(await brief.tell('commit')).toEqual('done')
+      expect(await brief.outcomeOf('commit')).toEqual('done')
       await stopped
       expect([idle.isClosed, brief.isClosed]).toEqual([true, true])
       expect(fixture.group.acknowledged.length).toEqual(1)
@@ -130,7 +139,7 @@
   // accepted 2,279 to 3,593 ms after the signal, while only sessions of the first 1,000 ms were closed, and no answer
   // had been pending for longer than 54 ms.
   it('has answered every statement when it has stopped, including those of callers that connected late', async () => {
-    await inScene(0, async fixture => {
+    await withHostFixture(0, async fixture => {
       const added = fixture.add('host-1', 2000)
       await fixture.ready()
       fixture.dialer.hooks.workMilliseconds = 120
@@ -145,7 +154,7 @@
           if ((await caller.connect('own')) !== 'welcome') continue
           while (!caller.isClosed && goesOn()) {
             owed += 1
-            await caller.tell('write 1')
+            await caller.outcomeOf('write 1')
             owed -= 1
           }
         }
@@ -164,18 +173,18 @@
   // The transaction was rolled back at that point, during its commit, although the process ran for as long again:
   // commits pending for 16 to 21 ms were refused with "the transaction was rolled back".
   it('lets a transaction commit that began while the host was stopping', async () => {
-    await inScene(0, async fixture => {
+    await withHostFixture(0, async fixture => {
       const added = fixture.add('host-1', 4000)
       await fixture.ready()
       const busy = await fixture.caller(added, 'own')
-      await busy.tell('begin')
+      await busy.outcomeOf('begin')
       const stopped = added.host.stop()
       await wait(1900)
       const late = await fixture.caller(added, 'own')
-      const outcomes = [await late.tell('begin'), await late.tell('write 1')]
+      const outcomes = [await late.outcomeOf('begin'), await late.outcomeOf('write 1')]
       await wait(300)
-      expect([...outcomes, await late.tell('commit')]).toEqual(['done', 'done', 'done'])
-      await busy.tell('rollback')
+      expect([...outcomes, await late.outcomeOf('commit')]).toEqual(['done', 'done', 'done'])
+      await busy.outcomeOf('rollback')
       await stopped
       expect(late.isClosed).toEqual(true)
     })
@@ -184,16 +193,16 @@
   // The time for open transactions ends while a statement runs in one. That transaction was skipped, stayed open until
   // the process ended, and its commit was cut off.
   it('ends a transaction after the statement that was running when its time ended', async () => {
-    await inScene(0, async fixture => {
+    await withHostFixture(0, async fixture => {
       const added = fixture.add('host-1', 2000)
       await fixture.ready()
       const caller = await fixture.caller(added, 'own')
-      await caller.tell('begin')
-      await caller.tell('write 1')
+      await caller.outcomeOf('begin')
+      await caller.outcomeOf('write 1')
       fixture.dialer.hooks.workMilliseconds = 400
       const stopped = added.host.stop()
       await wait(800)
-      const outcomes = [await caller.tell('write 2'), await caller.tell('commit')]
+      const outcomes = [await caller.outcomeOf('write 2'), await caller.outcomeOf('commit')]
       expect(outcomes).toEqual(['done', 'aborted'])
       await stopped
       expect(fixture.group.acknowledged).toEqual([])
@@ -203,12 +212,12 @@
   // A second stop signal arrived during the planned stop. The second call returned as if the stop had completed, and
   // the process ended while statements were running.
   it('does not stop sooner when it is signalled twice', async () => {
-    await inScene(0, async fixture => {
+    await withHostFixture(0, async fixture => {
       const added = fixture.add('host-1', 2000)
       await fixture.ready()
       const caller = await fixture.caller(added, 'own')
       fixture.dialer.hooks.workMilliseconds = 300
-      const asked = caller.tell('write 1')
+      const asked = caller.outcomeOf('write 1')
       await wait(20)
       const order: string[] = []
       const stops = [added.host.stop(), added.host.stop()].map(stop =>
@@ -223,10 +232,10 @@
   // A caller that is idle in a transaction holds a scarce connection. After the idle timeout the transaction must be
   // rolled back; the caller is informed with its next statement and can continue.
   it('rolls back a transaction that exceeds the idle timeout', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const caller = await idleInTransaction(fixture, host)
-      const outcomes = [await caller.tell('commit'), await caller.tell('write 1')]
+      const outcomes = [await caller.outcomeOf('commit'), await caller.outcomeOf('write 1')]
       expect(outcomes).toEqual(['aborted', 'done'])
     })
   })
@@ -234,12 +243,12 @@
   // As above, but the caller sends another statement before the commit. The answer was "malformed", which does not tell
   // that nothing was kept; the first answer after the rollback must be "aborted".
   it('answers "aborted" once after ending an idle transaction, then "malformed"', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const caller = await idleInTransaction(fixture, host)
       const outcomes: string[] = []
       for (const text of ['write 2', 'read 1', 'rollback', 'write 3'])
-        outcomes.push(await caller.tell(text))
+        outcomes.push(await caller.outcomeOf(text))
       expect(outcomes).toEqual(['aborted', 'malformed', 'done', 'done'])
       expect(fixture.group.acknowledged.length).toEqual(1)
     })
@@ -248,25 +257,25 @@
   // Entries of servers expire during a store outage and return shortly afterwards. No statement may be refused
   // meanwhile.
   it('keeps using servers whose entries expire briefly', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const caller = await fixture.caller(host, 'latest')
       fixture.store.unlistServer(P)
       await wait(100)
-      expect(await caller.tell('write 1')).toEqual('done')
-      fixture.list(P)
+      expect(await caller.outcomeOf('write 1')).toEqual('done')
+      fixture.listServer(P)
       await wait(100)
-      expect(await caller.tell('write 1')).toEqual('done')
+      expect(await caller.outcomeOf('write 1')).toEqual('done')
     })
   })
 
   // The store's call rates do not grow with the fleet, so an idle host may only keep its one watch open.
   it('makes no store calls but its watch while idle', async () => {
-    await inScene(3, async fixture => {
+    await withHostFixture(3, async fixture => {
       await wait(300)
-      const before = [...fixture.store.calls].filter(([name]) => name !== 'watch')
+      const before = [...fixture.store.callCounts].filter(([name]) => name !== 'watch')
       await wait(700)
-      expect([...fixture.store.calls].filter(([name]) => name !== 'watch')).toEqual(before)
+      expect([...fixture.store.callCounts].filter(([name]) => name !== 'watch')).toEqual(before)
     })
   })
 })
--- a/packages/host/__tests__/ownerPlanning.spec.ts
+++ b/packages/host/__tests__/ownerPlanning.spec.ts
@@ -5,7 +5,7 @@
 import { SeededRandom, VirtualClock, milliseconds } from '@nutmegcourse/shared'
 import type { HostContext } from '../src/hostContext.js'
 import { HostFleet } from '../src/hostFleet.js'
-import { NewsDesk } from '../src/newsDesk.js'
+import { ChangeFeedServer } from '../src/changeFeedServer.js'
 import { ServiceRegistry, type ServiceRegistryPorts } from '../src/serviceRegistry.js'
 
 // Guards against planning the owners again for each host that is added: when the fleet starts, or after a power loss,
@@ -55,7 +55,7 @@
     context,
     {} as ServiceRegistryPorts,
     new HostFleet(context),
-    new NewsDesk(context),
+    new ChangeFeedServer(context),
     () => undefined,
   )
 }
--- a/packages/host/__tests__/relay.spec.ts
+++ b/packages/host/__tests__/relay.spec.ts
@@ -2,23 +2,23 @@
 import { expect } from 'earl'
 import { freePorts } from '@nutmegcourse/stand-ins'
 import type { Caller } from './support/caller.js'
-import { P, inScene, type Scene, type SceneHost } from './support/scene.js'
+import { P, withHostFixture, type HostFixture, type FixtureHost } from './support/hostFixture.js'
 
 /** Too few connections to divide among three hosts, so one host holds all of them. */
 const CONNECTION_LIMIT = 5
 
 /** A full server rejected a connection of a host that holds no other one. */
-const isDenied = ({ event, fields }: SceneHost['lines'][number]): boolean =>
+const isDenied = ({ event, fields }: FixtureHost['lines'][number]): boolean =>
   event === 'connection_not_opened' && fields.held === 0
 
 async function withOneOwner(
-  scenario: (fixture: Scene, owner: SceneHost, other: SceneHost) => Promise<void>,
+  scenario: (fixture: HostFixture, owner: FixtureHost, other: FixtureHost) => Promise<void>,
 ): Promise<void> {
   const options = { connectionLimit: CONNECTION_LIMIT, relayPorts: await freePorts(3) }
-  await inScene(
+  await withHostFixture(
     3,
     async (fixture, hosts) => {
-      const owners = () => hosts.filter(({ host }) => host.find('own')?.desk.isOwned === true)
+      const owners = () => hosts.filter(({ host }) => host.find('own')?.service.isOwned === true)
       await fixture.until(() => owners().length === 1, 'one host owns the service')
       const [owner] = owners()
       const other = hosts.find(each => each !== owner)
@@ -33,22 +33,22 @@
   // A network partition separates one host from the primary; the others reach it. The writes of this host's callers
   // must be relayed through them, without a change of primary, which would cut the others off from the new one.
   it('relays writes through hosts that reach the primary, without a change of primary', async () => {
-    await inScene(
+    await withHostFixture(
       3,
       async (fixture, [host]) => {
         if (host === undefined) return
         const caller = await fixture.caller(host, 'own')
-        fixture.cutOff(host, P)
+        fixture.partition(host, P)
         let served = 0
         const limit = performance.now() + 4000
         while (performance.now() < limit) {
-          if ((await caller.tell('write 1')) === 'done') served += 1
+          if ((await caller.outcomeOf('write 1')) === 'done') served += 1
           await new Promise(resolve => setTimeout(resolve, 40))
         }
         expect(served > 40).toEqual(true)
         expect(fixture.group.promotions).toEqual(0)
-        const outcomes = [await caller.tell('begin'), await caller.tell('write 2')]
-        expect([...outcomes, await caller.tell('commit')]).toEqual(['done', 'done', 'done'])
+        const outcomes = [await caller.outcomeOf('begin'), await caller.outcomeOf('write 2')]
+        expect([...outcomes, await caller.outcomeOf('commit')]).toEqual(['done', 'done', 'done'])
       },
       { relayPorts: await freePorts(3) },
     )
@@ -59,7 +59,10 @@
   // An owner registers again because its lease expired, or removes its record because it is to stop. Meanwhile it still
   // runs relayed statements. The other hosts closed their connections to it on receiving the change, and refused the
   // pending writes with an unknown outcome, 39 of them in one recovery from a store outage.
-  const recordChanges: readonly (readonly [string, (fixture: Scene, owner: string) => void])[] = [
+  const recordChanges: readonly (readonly [
+    string,
+    (fixture: HostFixture, owner: string) => void,
+  ])[] = [
     [
       'registers again',
       ({ store }, owner) => {
@@ -79,11 +82,11 @@
     it(`receives the answers of an owner that ${what} meanwhile`, async () => {
       await withOneOwner(async (fixture, owner, other) => {
         const caller = await fixture.caller(other, 'own')
-        await caller.tell('write 1')
+        await caller.outcomeOf('write 1')
         // Changes are batched after those of the start.
         await new Promise(resolve => setTimeout(resolve, 1200))
         fixture.dialer.hooks.workMilliseconds = 300
-        const asked = caller.tell('write 2')
+        const asked = caller.outcomeOf('write 2')
         await new Promise(resolve => setTimeout(resolve, 50))
         change(fixture, owner.host.name)
         expect(await asked).toEqual('done')
@@ -104,7 +107,7 @@
         'write 1',
       ]
       for (const text of [...statements, 'read 2', 'commit', 'begin', 'rollback', 'read 1']) {
-        outcomes.push(await caller.tell(text))
+        outcomes.push(await caller.outcomeOf(text))
       }
       expect(outcomes.filter(outcome => outcome !== 'done')).toEqual([])
       expect(fixture.group.acknowledged.length).toEqual(2)
@@ -121,9 +124,9 @@
       for (const server of fixture.group.servers.values()) {
         if (server.role === 'replica' && server.id !== 'i-b') server.isDeaf = true
       }
-      await caller.tell('write 1', 'mine')
+      await caller.outcomeOf('write 1', 'mine')
       for (let reads = 0; reads < 4; reads += 1) {
-        const { answer } = await caller.ask('read 1')
+        const { answer } = await caller.run('read 1')
         expect(answer.kind === 'rows' && answer.rows[0]).toEqual('mine')
       }
     })
@@ -143,16 +146,16 @@
     it(`answers correctly when its owner crashes ${name}`, async () => {
       await withOneOwner(async (fixture, owner, other) => {
         const caller = await fixture.caller(other, 'own')
-        for (const each of before) expect(await caller.tell(each)).toEqual('done')
+        for (const each of before) expect(await caller.outcomeOf(each)).toEqual('done')
         fixture.dialer.hooks.onCommand = (_server, command) => {
           if (command.kind !== 'forward' || command.id !== 'x') return 'none'
           delete fixture.dialer.hooks.onCommand
           owner.host.close()
           return 'lostBefore'
         }
-        expect(await caller.tell(text, 'x')).toEqual(expected)
-        if (expected === 'aborted') await caller.tell('rollback')
-        expect(await caller.tell('read 1')).toEqual('done')
+        expect(await caller.outcomeOf(text, 'x')).toEqual(expected)
+        if (expected === 'aborted') await caller.outcomeOf('rollback')
+        expect(await caller.outcomeOf('read 1')).toEqual('done')
       })
     })
   }
@@ -163,7 +166,7 @@
       const caller = await fixture.caller(other, 'own')
       const stopped = owner.host.stop()
       for (let reads = 0; reads < 20; reads += 1) {
-        expect(await caller.tell('read 1')).toEqual('done')
+        expect(await caller.outcomeOf('read 1')).toEqual('done')
         await new Promise(resolve => setTimeout(resolve, 20))
       }
       await stopped
@@ -176,12 +179,12 @@
   it('aborts a long transaction when its owner stops', async () => {
     await withOneOwner(async (fixture, owner, other) => {
       const caller = await fixture.caller(other, 'own')
-      await caller.tell('begin')
-      await caller.tell('write 1')
+      await caller.outcomeOf('begin')
+      await caller.outcomeOf('write 1')
       const stopped = owner.host.stop()
       await new Promise(resolve => setTimeout(resolve, 560))
       fixture.dialer.hooks.workMilliseconds = 120
-      expect(await caller.tell('commit')).toEqual('aborted')
+      expect(await caller.outcomeOf('commit')).toEqual('aborted')
       await stopped
       expect(fixture.group.acknowledged).toEqual([])
     })
@@ -193,9 +196,9 @@
   it('relays no more statements to a stopping owner, also during a store outage', async () => {
     await withOneOwner(async (fixture, owner, other) => {
       const callers = await Promise.all([1, 2, 3, 4].map(() => fixture.caller(other, 'own')))
-      for (const caller of callers) await caller.tell('write 0')
+      for (const caller of callers) await caller.outcomeOf('write 0')
       fixture.dialer.hooks.workMilliseconds = 4
-      for (const { store } of fixture.hosts) store.mood = 'silent'
+      for (const { store } of fixture.hosts) store.behaviour = 'silent'
       const before = other.lines.length
       const stopped = owner.host.stop()
       let isOver = false
@@ -203,7 +206,7 @@
       const outcomes = new Set<string>()
       const goesOn = (): boolean => !isOver
       const work = async (caller: Caller): Promise<void> => {
-        while (goesOn()) outcomes.add(await caller.tell('write 1'))
+        while (goesOn()) outcomes.add(await caller.outcomeOf('write 1'))
       }
       await Promise.all(callers.map(work))
       expect([...outcomes]).toEqual(['done'])
@@ -218,10 +221,10 @@
   it('is served in every availability zone after its owner crashed', async () => {
     const zones = ['a', 'b', 'c', 'a', 'b', 'c']
     const options = { connectionLimit: 12, relayPorts: await freePorts(zones.length), zones }
-    await inScene(
+    await withHostFixture(
       zones.length,
       async (fixture, hosts) => {
-        const owners = () => hosts.filter(({ host }) => host.find('own')?.desk.isOwned === true)
+        const owners = () => hosts.filter(({ host }) => host.find('own')?.service.isOwned === true)
         await fixture.until(() => owners().length === 1, 'one host owns the service')
         const others = hosts.filter(host => !owners().includes(host))
         const homes = others.flatMap(host => [host, host, host, host])
@@ -229,12 +232,12 @@
         fixture.dialer.hooks.workMilliseconds = 30
         owners()[0]?.host.close()
         const settledAt = performance.now() + 700
-        const served = new Map<SceneHost, number>()
+        const served = new Map<FixtureHost, number>()
         const work = async (caller: Caller, index: number): Promise<void> => {
           const home = homes[index]
           while (performance.now() < settledAt + 800) {
             const askedAt = performance.now()
-            const outcome = await caller.tell('write 1')
+            const outcome = await caller.outcomeOf('write 1')
             if (home === undefined || askedAt < settledAt || outcome !== 'done') continue
             served.set(home, (served.get(home) ?? 0) + 1)
           }
--- a/packages/host/__tests__/statements.spec.ts
+++ b/packages/host/__tests__/statements.spec.ts
@@ -3,14 +3,14 @@
 import type { BackendCommand } from '@nutmegcourse/protocol'
 import type { CommandFault } from '@nutmegcourse/stand-ins'
 import type { Caller } from './support/caller.js'
-import { A, B, P, inScene } from './support/scene.js'
+import { A, B, P, withHostFixture } from './support/hostFixture.js'
 
 const isStatement = (command: BackendCommand, id: string): boolean =>
   (command.kind === 'forward' || command.kind === 'execute') && command.id === id
 
 async function runAll(caller: Caller, texts: readonly string[]): Promise<string[]> {
   const outcomes: string[] = []
-  for (const text of texts) outcomes.push(await caller.tell(text))
+  for (const text of texts) outcomes.push(await caller.outcomeOf(text))
   return outcomes
 }
 
@@ -51,7 +51,7 @@
   ]
   for (const [name, database, texts, outcomes] of conversations) {
     it(name, async () => {
-      await inScene(1, async (fixture, [host]) => {
+      await withHostFixture(1, async (fixture, [host]) => {
         if (host === undefined) return
         const caller = await fixture.caller(host, database)
         expect((await runAll(caller, texts.split(', '))).join(', ')).toEqual(outcomes)
@@ -83,7 +83,7 @@
   ]
   for (const [name, before, text, fault, outcome, runs] of losses) {
     it(`${name}, ${fault}`, async () => {
-      await inScene(1, async (fixture, [host]) => {
+      await withHostFixture(1, async (fixture, [host]) => {
         if (host === undefined) return
         const caller = await fixture.caller(host, 'own')
         let faults = 0
@@ -93,8 +93,10 @@
           return fault
         }
         await runAll(caller, before)
-        expect(await caller.tell(text, 'x')).toEqual(outcome)
-        expect(fixture.group.ran.filter(each => each.endsWith(':x')).length).toEqual(runs)
+        expect(await caller.outcomeOf(text, 'x')).toEqual(outcome)
+        expect(fixture.group.executedStatements.filter(each => each.endsWith(':x')).length).toEqual(
+          runs,
+        )
       })
     })
   }
@@ -102,16 +104,16 @@
   // Guards against requests of an overloaded database that wait until their deadline. A request whose forecast wait
   // exceeds a share of its latency target must be refused immediately, with a retry delay.
   it('refuses a statement immediately if it would wait too long', async () => {
-    await inScene(
+    await withHostFixture(
       1,
       async (fixture, [host]) => {
         if (host === undefined) return
         fixture.dialer.hooks.workMilliseconds = 150
         const callers = await Promise.all([1, 2, 3].map(() => fixture.caller(host, 'latest')))
-        await callers[0]?.tell('write 1')
+        await callers[0]?.outcomeOf('write 1')
         const startedAt = performance.now()
         const asked = callers.map(async caller => {
-          const { answer } = await caller.ask('write 1')
+          const { answer } = await caller.run('write 1')
           const outcome = answer.kind === 'refused' ? `${answer.refusal} ${answer.detail}` : 'done'
           return { outcome, took: performance.now() - startedAt }
         })
@@ -126,12 +128,12 @@
 
   // The log line of a late statement must tell an operator how long it waited and how many attempts it took.
   it('logs how a late answer spent its time', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const caller = await fixture.caller(host, 'latest')
-      await caller.tell('write 1')
+      await caller.outcomeOf('write 1')
       fixture.dialer.hooks.workMilliseconds = 700
-      expect(await caller.tell('write 2', 'late')).toEqual('done')
+      expect(await caller.outcomeOf('write 2', 'late')).toEqual('done')
       const line = host.lines.find(({ event }) => event === 'statement_late')
       expect([line?.fields.request, line?.fields.tries]).toEqual(['late', 1])
     })
@@ -140,12 +142,12 @@
   // A caller sets a session value. Another caller that gets the same connection afterwards must not see it, and the
   // first must see it on every connection that it gets.
   it('keeps session values separate between sessions that share a connection', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const first = await fixture.caller(host, 'latest')
       const second = await fixture.caller(host, 'latest')
       await runAll(first, ['set colour red', 'read 1'])
-      await second.tell('read 1')
+      await second.outcomeOf('read 1')
       const seen = new Map<string, string | undefined>()
       fixture.dialer.hooks.onCommand = (server, command) => {
         for (const link of fixture.dialer.links) {
@@ -155,15 +157,15 @@
         }
         return 'none'
       }
-      await second.tell('read 1', 'second')
-      await first.tell('read 1', 'first')
+      await second.outcomeOf('read 1', 'second')
+      await first.outcomeOf('read 1', 'first')
       expect([seen.get('second'), seen.get('first')]).toEqual([undefined, 'red'])
     })
   })
 
   // A caller disconnects within a transaction. The backend connection must be returned to the pool after a rollback.
   it('rolls back the transaction of a caller that disconnected', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const disconnected = await fixture.caller(host, 'latest')
       await runAll(disconnected, ['begin', 'write 1'])
@@ -176,13 +178,13 @@
 
   // A replica stops receiving the log. A session that has just written must not read from it, however near it is.
   it('reads the own writes of a session while a replica is behind', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const caller = await fixture.caller(host, 'own')
       fixture.group.server(A).isDeaf = true
-      expect(await caller.tell('write 1', 'w')).toEqual('done')
+      expect(await caller.outcomeOf('write 1', 'w')).toEqual('done')
       for (let reads = 0; reads < 5; reads += 1) {
-        const { answer } = await caller.ask('read 1')
+        const { answer } = await caller.run('read 1')
         expect(answer.kind === 'rows' && answer.rows[0]).toEqual('w')
       }
     })
@@ -191,22 +193,22 @@
   // A primary was replaced without this host having been informed, and serves reads from its old log. A route that
   // guarantees the latest data must not use such an answer.
   it('discards reads of a replaced primary', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const caller = await fixture.caller(host, 'latest')
-      await caller.tell('write 1', 'old')
+      await caller.outcomeOf('write 1', 'old')
       fixture.group.promote(A, 1000)
       await fixture.until(() => fixture.group.primary.id === A, 'the other leads')
       fixture.group.server(P).isDeaf = true
       fixture.group.commit(fixture.group.primary, ['new'])
-      const { answer } = await caller.ask('read 1')
+      const { answer } = await caller.run('read 1')
       expect(answer.kind === 'rows' && answer.rows[0]).toEqual('new')
     })
   })
 
   // A full server rejects connections. Reads must go to another server at once instead of waiting for a free slot.
   it('reads from another server when one accepts no connections', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       for (const server of [A, B]) {
         fixture.dialer.cut(server)
@@ -214,7 +216,7 @@
       }
       const caller = await fixture.caller(host, 'bounded')
       const startedAt = performance.now()
-      expect(await caller.tell('read 1')).toEqual('done')
+      expect(await caller.outcomeOf('read 1')).toEqual('done')
       expect(performance.now() - startedAt < 700).toEqual(true)
     })
   })
@@ -223,18 +225,18 @@
   // caller's write ran and was refused with an unknown outcome; only an occasional write may be sent as a test, and the
   // others must be refused as not run.
   it('sends few writes to a primary whose replicas are unreachable', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const caller = await fixture.caller(host, 'own')
       for (const id of [A, B]) fixture.group.server(id).isDeaf = true
       const outcomes: string[] = []
-      for (let count = 0; count < 20; count += 1) outcomes.push(await caller.tell('write 1'))
+      for (let count = 0; count < 20; count += 1) outcomes.push(await caller.outcomeOf('write 1'))
       const unknown = outcomes.filter(outcome => outcome === 'outcomeUnknown').length
       const unrun = outcomes.filter(outcome => outcome === 'notRun').length
       expect([unknown <= 3, unknown + unrun]).toEqual([true, 20])
       for (const id of [A, B]) fixture.group.server(id).isDeaf = false
       await new Promise(resolve => setTimeout(resolve, 300))
-      expect(await caller.tell('write 1')).toEqual('done')
+      expect(await caller.outcomeOf('write 1')).toEqual('done')
     })
   })
 
@@ -242,32 +244,32 @@
   // requests were queued for the whole 0.8 s of their route's timeout and refused as not run only then. If no
   // connection could be opened for a while, they must be refused immediately.
   it('refuses statements immediately if it holds no connection and the server is full', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const caller = await fixture.caller(host, 'own')
-      expect(await caller.tell('write 1')).toEqual('done')
+      expect(await caller.outcomeOf('write 1')).toEqual('done')
       fixture.dialer.cut(P)
       const server = fixture.group.server(P)
       server.connections = fixture.group.connectionLimit
       await new Promise(resolve => setTimeout(resolve, 400))
       const askedAt = performance.now()
-      expect(await caller.tell('write 1')).toEqual('notRun')
+      expect(await caller.outcomeOf('write 1')).toEqual('notRun')
       expect(performance.now() - askedAt < 100).toEqual(true)
       server.connections = 0
       await new Promise(resolve => setTimeout(resolve, 200))
-      expect(await caller.tell('write 1')).toEqual('done')
+      expect(await caller.outcomeOf('write 1')).toEqual('done')
     })
   })
 
   // Six callers send a statement at once while one connection is open and the others are being opened. The forecast of
   // the wait considered only the open connection and refused half of the statements.
   it('includes connections that are being opened in the forecast wait', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       fixture.dialer.hooks.workMilliseconds = 60
       const callers = await Promise.all([1, 2, 3, 4, 5, 6].map(() => fixture.caller(host, 'own')))
-      for (let count = 0; count < 5; count += 1) await callers[0]?.tell('write 1')
-      const outcomes = await Promise.all(callers.map(caller => caller.tell('write 2')))
+      for (let count = 0; count < 5; count += 1) await callers[0]?.outcomeOf('write 1')
+      const outcomes = await Promise.all(callers.map(caller => caller.outcomeOf('write 2')))
       expect(outcomes.filter(outcome => outcome !== 'done')).toEqual([])
     })
   })
@@ -276,19 +278,19 @@
   // to a primary that confirms no writes, and rolled back the next commit without sending it ("aborted: unconfirmed" to
   // a commit that had been pending for 333 ms, of which the host had spent 0).
   it('does not treat its own stall as a primary whose writes are not confirmed', async () => {
-    await inScene(1, async (fixture, [host]) => {
+    await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const [caller, other] = [await fixture.caller(host, 'own'), await fixture.caller(host, 'own')]
-      await caller.tell('begin')
-      await caller.tell('write 1')
+      await caller.outcomeOf('begin')
+      await caller.outcomeOf('write 1')
       // Allow the periodic check of the servers to run first.
       await new Promise(resolve => setTimeout(resolve, 150))
       fixture.dialer.hooks.workMilliseconds = 100
-      const asked = other.tell('write 2')
+      const asked = other.outcomeOf('write 2')
       await new Promise(resolve => setTimeout(resolve, 20))
       const until = performance.now() + 400
       while (performance.now() < until);
-      expect([await caller.tell('commit'), await asked]).toEqual(['done', 'done'])
+      expect([await caller.outcomeOf('commit'), await asked]).toEqual(['done', 'done'])
     })
   })
 })
--- a/packages/host/__tests__/storeRestored.spec.ts
+++ b/packages/host/__tests__/storeRestored.spec.ts
@@ -3,14 +3,21 @@
 import { hostKey } from '@nutmegcourse/coordination'
 import { eraOf } from '@nutmegcourse/protocol'
 import { freePorts } from '@nutmegcourse/stand-ins'
-import { A, CONFIGURATION, P, inScene, type Scene, type SceneHost } from './support/scene.js'
+import {
+  A,
+  CONFIGURATION,
+  P,
+  withHostFixture,
+  type HostFixture,
+  type FixtureHost,
+} from './support/hostFixture.js'
 
 const rest = (span: number): Promise<void> => new Promise(resolve => setTimeout(resolve, span))
 
-const linesOf = (hosts: readonly SceneHost[], event: string) =>
+const linesOf = (hosts: readonly FixtureHost[], event: string) =>
   hosts.flatMap(({ lines }) => lines.filter(line => line.event === event))
 
-const untilRestoreKnown = (scene: Scene, hosts: readonly SceneHost[]): Promise<void> =>
+const untilRestoreKnown = (scene: HostFixture, hosts: readonly FixtureHost[]): Promise<void> =>
   scene.until(
     () => hosts.every(({ lines }) => lines.some(({ event }) => event === 'store_restored')),
     'every host knows that the store was restored',
@@ -21,10 +28,10 @@
   // planned the connections again, once more as each of them returned.
   it('register again without considering each other gone', async () => {
     const options = { relayPorts: await freePorts(4), connectionLimit: 12 }
-    await inScene(
+    await withHostFixture(
       4,
       async (scene, hosts) => {
-        const before = scene.store.copy()
+        const before = scene.store.snapshot()
         const older = { ...before, records: new Map(), leases: new Map() }
         const isAll = (): boolean => scene.store.recordKeys(hostKey('')).length === 4
         await scene.until(isAll, 'all hosts are registered')
@@ -40,11 +47,11 @@
   })
 
   it('keep the newest configuration that they had in force', async () => {
-    await inScene(2, async (scene, hosts) => {
-      const copy = scene.store.copy()
+    await withHostFixture(2, async (scene, hosts) => {
+      const copy = scene.store.snapshot()
       scene.configure({ version: 2, routes: CONFIGURATION.routes.slice(0, 1) })
       const [left] = CONFIGURATION.routes
-      const isTaken = ({ host }: SceneHost): boolean => host.find('own') === null
+      const isTaken = ({ host }: FixtureHost): boolean => host.find('own') === null
       await scene.until(() => hosts.every(isTaken), 'the route is gone')
       scene.store.restore(copy)
       await untilRestoreKnown(scene, hosts)
@@ -57,8 +64,8 @@
   // The store loses a claim while its holder changes the primary. Another host that claimed the change at once would
   // send orders concurrently.
   it('make no new claim while the holder of a lost claim may still act', async () => {
-    await inScene(3, async (scene, hosts) => {
-      const copy = scene.store.copy()
+    await withHostFixture(3, async (scene, hosts) => {
+      const copy = scene.store.snapshot()
       scene.promotionFault = () => 'noAnswer'
       scene.crash(P)
       const claims = () => linesOf(hosts, 'change_claimed')
@@ -79,9 +86,9 @@
   // A replica has announced that it is leaving, after the copy was made. It received work again until it repeated the
   // announcement.
   it('send no work to a server that had announced that it is leaving', async () => {
-    await inScene(1, async (scene, [host]) => {
-      const copy = scene.store.copy()
-      scene.list(A, { isLeaving: true })
+    await withHostFixture(1, async (scene, [host]) => {
+      const copy = scene.store.snapshot()
+      scene.listServer(A, { isLeaving: true })
       const left = (): boolean =>
         host?.lines.some(({ fields }) => fields.server === A && fields.isLeaving === true) ?? false
       await scene.until(left, 'the host knows that it leaves')
@@ -101,7 +108,7 @@
     const timers = (): number =>
       process.getActiveResourcesInfo().filter(each => each === 'Timeout').length
     const before = timers()
-    await inScene(2, scene => scene.ready())
+    await withHostFixture(2, scene => scene.ready())
     const limit = performance.now() + 3000
     while (timers() > before && performance.now() < limit) await rest(50)
     expect(timers() <= before).toEqual(true)
--- a/packages/host/__tests__/support/caller.ts
+++ b/packages/host/__tests__/support/caller.ts
@@ -37,7 +37,7 @@
     })
   }
 
-  ask(text: string, id = this.#nextId()): Promise<Answered> {
+  run(text: string, id = this.#nextId()): Promise<Answered> {
     return new Promise(resolve => {
       this.#waiting = resolve
       this.#events?.statement({ id: statementId(id), text: textOf(text), body: bodyOf(text) })
@@ -45,8 +45,8 @@
   }
 
   /** Runs a statement and resolves with its outcome: `done`, or the refusal. */
-  async tell(text: string, id?: string): Promise<string> {
-    const { answer } = await this.ask(text, id)
+  async outcomeOf(text: string, id?: string): Promise<string> {
+    const { answer } = await this.run(text, id)
     return answer.kind === 'refused' ? answer.refusal : 'done'
   }
 
@@ -65,7 +65,7 @@
     settle?.({ answer, status, position })
   }
 
-  welcome(): void {
+  acceptSession(): void {
     this.#welcomed?.('welcome')
   }
 
--- a/packages/host/__tests__/support/followerContext.ts
+++ b/packages/host/__tests__/support/followerContext.ts
@@ -1,8 +1,8 @@
 import { SeededRandom, type VirtualClock } from '@nutmegcourse/shared'
 import type { HostContext } from '../../src/hostContext.js'
-import { NewsDesk } from '../../src/newsDesk.js'
+import { ChangeFeedServer } from '../../src/changeFeedServer.js'
 import type { ChangeFeed } from '../../src/storeFollower.js'
-import { ChangeFeedReader, type NewsPeer } from '../../src/zoneNews.js'
+import { ChangeFeedReader, type ChangeFeedSource } from '../../src/changeFeedReader.js'
 
 /** The part of a host's context that `StoreFollower` needs. */
 export const followerContext = (clock: VirtualClock): HostContext =>
@@ -19,8 +19,8 @@
 /** A change feed whose reader may ask the given hosts. */
 export const changeFeedWith = (
   context: HostContext,
-  sources: () => readonly NewsPeer[] = () => [],
+  sources: () => readonly ChangeFeedSource[] = () => [],
 ): ChangeFeed => ({
   reader: new ChangeFeedReader(context, { changeFeedSources: sources }),
-  server: new NewsDesk(context),
+  server: new ChangeFeedServer(context),
 })
--- a/packages/host/__tests__/support/scene.ts
+++ b/packages/host/__tests__/support/hostFixture.ts
@@ -90,7 +90,7 @@
   }
 }
 
-export interface SceneHost {
+export interface FixtureHost {
   readonly host: EntryHost
   readonly store: StoreConnection
   readonly dialer: MemoryDialer
@@ -102,7 +102,7 @@
 
 const LATE_PROMOTION_MILLISECONDS = 400
 
-export interface SceneOptions {
+export interface HostFixtureOptions {
   readonly promotionMilliseconds?: number
   readonly connectionLimit?: number
   /** The relay port of each host, in order; without, the hosts have none. */
@@ -124,7 +124,7 @@
 
 const ONLY_ZONE = 'zone-1'
 
-export class Scene {
+export class HostFixture {
   readonly #relayPorts: number[]
   readonly #zones: string[]
   readonly #isFirstStart: boolean
@@ -135,10 +135,10 @@
   readonly store = new MemoryStore()
   readonly group: MemoryGroup
   readonly dialer: MemoryDialer
-  readonly hosts: SceneHost[] = []
+  readonly hosts: FixtureHost[] = []
   promotionFault: PromotionFault = () => 'none'
 
-  constructor(options: SceneOptions = {}) {
+  constructor(options: HostFixtureOptions = {}) {
     const { promotionMilliseconds = 50, connectionLimit = 25 } = options
     this.#relayPorts = [...(options.relayPorts ?? [])]
     this.#zones = [...(options.zones ?? [])]
@@ -158,7 +158,7 @@
     })
     this.dialer = new MemoryDialer([this.group])
     this.configure({ customers: this.#customers ?? [] })
-    for (const server of [P, A, B]) this.list(server)
+    for (const server of [P, A, B]) this.listServer(server)
   }
 
   /** Stores the default configuration with the given changes. */
@@ -168,7 +168,7 @@
     this.store.configure({ ...CONFIGURATION, services, ...given })
   }
 
-  list(server: BackendServerId, given: { isLeaving?: boolean; bornAt?: number } = {}): void {
+  listServer(server: BackendServerId, given: { isLeaving?: boolean; bornAt?: number } = {}): void {
     this.store.listServer({
       server,
       service: SERVICE,
@@ -182,8 +182,8 @@
     })
   }
 
-  add(name: string, grace = 1000, store = new StoreConnection(this.store)): SceneHost {
-    const lines: SceneHost['lines'] = []
+  add(name: string, grace = 1000, store = new StoreConnection(this.store)): FixtureHost {
+    const lines: FixtureHost['lines'] = []
     const metrics = new HostMetrics()
     const log = new DecisionLog(
       {
@@ -227,7 +227,7 @@
   }
 
   /** Drops all packets between a host and a server. */
-  cutOff(host: SceneHost, server: BackendServerId): void {
+  partition(host: FixtureHost, server: BackendServerId): void {
     host.dialer.unreachable.add(server)
   }
 
@@ -237,7 +237,7 @@
     this.dialer.cut(server)
   }
 
-  async caller(host: SceneHost, database: string, key?: string): Promise<Caller> {
+  async caller(host: FixtureHost, database: string, key?: string): Promise<Caller> {
     const caller = new Caller(host.host)
     const outcome = await caller.connect(database, key)
     if (outcome !== 'welcome') throw new Error(`the session was rejected: ${outcome}`)
@@ -281,12 +281,12 @@
 }
 
 /** Runs a scenario in a fixture of its own, and checks afterwards that no acknowledged write was lost. */
-export async function inScene(
+export async function withHostFixture(
   hosts: number,
-  scenario: (fixture: Scene, hosts: readonly SceneHost[]) => Promise<void>,
-  options: SceneOptions = {},
+  scenario: (fixture: HostFixture, hosts: readonly FixtureHost[]) => Promise<void>,
+  options: HostFixtureOptions = {},
 ): Promise<void> {
-  const fixture = new Scene(options)
+  const fixture = new HostFixture(options)
   try {
     for (let index = 1; index <= hosts; index += 1) fixture.add(`host-${String(index)}`)
     await fixture.ready()
--- a/packages/host/__tests__/zoneFollowing.spec.ts
+++ b/packages/host/__tests__/zoneFollowing.spec.ts
@@ -1,7 +1,15 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import { freePorts } from '@nutmegcourse/stand-ins'
-import { A, B, CONFIGURATION, P, inScene, type Scene, type SceneHost } from './support/scene.js'
+import {
+  A,
+  B,
+  CONFIGURATION,
+  P,
+  withHostFixture,
+  type HostFixture,
+  type FixtureHost,
+} from './support/hostFixture.js'
 
 const wait = (span: number): Promise<void> => new Promise(resolve => setTimeout(resolve, span))
 
@@ -14,10 +22,12 @@
 /** Longer than hosts take to learn of each other and through which host they follow the store. */
 const SETTLE_MILLISECONDS = 3000
 
-async function withZones(run: (scene: Scene, hosts: readonly SceneHost[]) => Promise<void>) {
+async function withZones(
+  run: (scene: HostFixture, hosts: readonly FixtureHost[]) => Promise<void>,
+) {
   const zones = Array.from({ length: HOSTS }, (_, index) => ZONES[index % ZONES.length] ?? '')
   const options = { relayPorts: await freePorts(HOSTS), zones }
-  await inScene(
+  await withHostFixture(
     HOSTS,
     async (scene, hosts) => {
       await wait(SETTLE_MILLISECONDS)
@@ -27,12 +37,12 @@
   )
 }
 
-const watchesOf = ({ store }: Scene): number => store.calls.get('watch') ?? 0
+const watchesOf = ({ store }: HostFixture): number => store.callCounts.get('watch') ?? 0
 
 /** Configures a version; returns the milliseconds until it is in force at all of these hosts. */
 async function millisecondsUntilInForce(
-  scene: Scene,
-  hosts: readonly SceneHost[],
+  scene: HostFixture,
+  hosts: readonly FixtureHost[],
   version: number,
 ): Promise<number> {
   const startedAt = performance.now()
@@ -51,7 +61,7 @@
       const before = watchesOf(scene)
       const changes = 20
       for (let change = 0; change < changes; change += 1) {
-        scene.list([P, A, B][change % 3] ?? P, { isLeaving: false, bornAt: 1 })
+        scene.listServer([P, A, B][change % 3] ?? P, { isLeaving: false, bornAt: 1 })
         await wait(50)
       }
       const span = await millisecondsUntilInForce(scene, hosts, 7)
@@ -64,7 +74,7 @@
 
   interface Failure {
     readonly name: string
-    readonly fail: (host: SceneHost) => void
+    readonly fail: (host: FixtureHost) => void
   }
 
   // Guards against hosts that wait for changes at a host that will never respond.
@@ -78,13 +88,13 @@
     {
       name: 'one host after the other loses the store',
       fail: ({ store }) => {
-        store.mood = 'refusing'
+        store.behaviour = 'refusing'
       },
     },
     {
       name: 'one host after the other gets no response from the store',
       fail: ({ store }) => {
-        store.mood = 'silent'
+        store.behaviour = 'silent'
       },
     },
   ]
--- a/packages/host/src/accessRefusals.ts
+++ b/packages/host/src/accessRefusals.ts
@@ -4,7 +4,7 @@
  *
  * @internal
  */
-import { fateOf, type Mishap, type StatementPlace } from '@nutmegcourse/state'
+import { recoveryFor, type StatementFailure, type StatementPlace } from '@nutmegcourse/state'
 import type { CallerRefusal } from '@nutmegcourse/protocol'
 import type { Access } from './serverAccess.js'
 import { refused, type StatementRequest, type StatementResult } from './statements.js'
@@ -16,8 +16,8 @@
 export type NoAccess = Exclude<Access, { kind: 'connected' }> | typeof UNCONFIRMED
 
 /** The refusal that the last failed attempt leads to when it is not repeated. */
-function lastRefusal(place: StatementPlace, last: Mishap): CallerRefusal {
-  const fate = fateOf(place, last, false)
+function lastRefusal(place: StatementPlace, last: StatementFailure): CallerRefusal {
+  const fate = recoveryFor(place, last, false)
   return fate.kind === 'answer' ? fate.refusal : fate.otherwise
 }
 
@@ -25,14 +25,14 @@
 export const refusalAfter = (
   request: StatementRequest,
   place: StatementPlace,
-  last: Mishap,
+  last: StatementFailure,
 ): StatementResult => refused(request, lastRefusal(place, last), last)
 
 /** The result of a statement that got no connection; null if it may look for another server. */
 export function withoutAccess(
   request: StatementRequest,
   place: StatementPlace,
-  last: Mishap,
+  last: StatementFailure,
   access: NoAccess,
 ): StatementResult | null {
   switch (access.kind) {
--- a/packages/host/src/attempt.ts
+++ b/packages/host/src/attempt.ts
@@ -13,11 +13,11 @@
   OwnCommand,
   SessionStatus,
 } from '@nutmegcourse/protocol'
-import type { Mishap, SessionValues } from '@nutmegcourse/state'
+import type { StatementFailure, SessionValues } from '@nutmegcourse/state'
 import type { Result } from 'neverthrow'
 import type { HostContext } from './hostContext.js'
 import type { PooledLink } from './pooledLink.js'
-import { OVERDUE, within } from './waiting.js'
+import { OVERDUE, withDeadline } from './waiting.js'
 
 /** A statement that a backend server has to run. */
 export type RemoteStatement = CallerStatement & {
@@ -34,7 +34,7 @@
     }
   | {
       readonly kind: 'mishap'
-      readonly mishap: Mishap
+      readonly mishap: StatementFailure
       /** The connection's session status afterwards; null when it must not be used again. */
       readonly status: SessionStatus | null
       /** The end of the server's log, if a refusal reported it. */
@@ -56,7 +56,7 @@
 }
 
 const mishap = (
-  cause: Mishap,
+  cause: StatementFailure,
   status: SessionStatus | null,
   position: LogPosition | null = null,
 ): AttemptOutcome => ({ kind: 'mishap', mishap: cause, status, position })
@@ -75,14 +75,14 @@
       plan.isInTransaction ? 'open' : 'idle',
     )
   }
-  const own = [...values.adopt(plan.session, plan.isInTransaction), ...prepared.own]
+  const own = [...values.commandsToAdopt(plan.session, plan.isInTransaction), ...prepared.own]
   const ahead = own.map(command => link.run(command))
   const main = link.run(prepared.command)
   const behind = plan.verifiesPrimary
     ? [link.run({ kind: 'begin', readOnly: false, after: null }), link.run({ kind: 'rollback' })]
     : []
   const all = Promise.all([Promise.all(ahead), main, Promise.all(behind)])
-  const replies = await within(all, plan.deadline, context.clock)
+  const replies = await withDeadline(all, plan.deadline, context.clock)
   if (replies === OVERDUE) return mishap({ kind: 'overdue' }, null)
   const [settings, reply, check] = replies
   if (!settings.every(isHostCommandDone)) {
@@ -101,8 +101,10 @@
   session: SessionValues,
   deadline: Milliseconds,
 ): Promise<boolean> {
-  const replies = pooled.values.adopt(session, false).map(command => pooled.link.run(command))
-  const settled = await within(Promise.all(replies), deadline, context.clock)
+  const replies = pooled.values
+    .commandsToAdopt(session, false)
+    .map(command => pooled.link.run(command))
+  const settled = await withDeadline(Promise.all(replies), deadline, context.clock)
   return settled !== OVERDUE && settled.every(isHostCommandDone)
 }
 
@@ -170,13 +172,13 @@
 }
 
 /** Runs one command; null when it was not answered by the deadline or its connection failed. */
-export async function runOwn(
+export async function runCommand(
   context: HostContext,
   pooled: PooledLink,
   command: BackendCommand,
   deadline: Milliseconds,
 ): Promise<BackendReply | null> {
-  const reply = await within(pooled.link.run(command), deadline, context.clock)
+  const reply = await withDeadline(pooled.link.run(command), deadline, context.clock)
   if (reply === OVERDUE || reply.isErr()) return null
   return reply.value
 }
--- a/packages/host/src/backendServerState.ts
+++ b/packages/host/src/backendServerState.ts
@@ -86,7 +86,7 @@
   }
 
   /** How long a probe has been pending without anything being received; 0 if none is pending. */
-  silentFor(now: Milliseconds): number {
+  silentMilliseconds(now: Milliseconds): number {
     const probedAt = Math.min(this.#touchStartedAt ?? now, this.#probeSentAt ?? now)
     return Math.max(0, now - Math.max(probedAt, this.lastHeardAt))
   }
@@ -105,7 +105,7 @@
    * ones may be broken while the server is well, and the server's operating system answers it independently of its
    * load.
    */
-  watchLife(now: Milliseconds): void {
+  probeIfSilent(now: Milliseconds): void {
     if (this.#touchStartedAt !== null) {
       if (this.lastHeardAt > this.#touchStartedAt) this.#endTouch()
       return
@@ -115,19 +115,19 @@
   }
 
   /** Probes the server because another host finds it silent, unless something was received from it recently. */
-  askForLife(now: Milliseconds): void {
+  probeLiveness(now: Milliseconds): void {
     const isQuiet = now - this.lastHeardAt > TOUCH_AFTER_MILLISECONDS
     if (this.#touchStartedAt === null && isQuiet) this.#touch(now)
   }
 
   /** Discards pending probes: after a stall of this process they tell nothing about the server. */
-  forgetQuestions(): void {
+  discardProbes(): void {
     this.#probeSentAt = null
     this.#endTouch()
   }
 
   close(): void {
-    this.forgetQuestions()
+    this.discardProbes()
     this.pool.close()
   }
 
@@ -138,7 +138,7 @@
   }
 
   #touch(now: Milliseconds): void {
-    const touch = this.#context.dialer.touch(this.address)
+    const touch = this.#context.dialer.probe(this.address)
     const cancel = (): void => {
       touch.cancel()
     }
--- a/packages/host/src/pauses.ts
+++ b/packages/host/src/backoffs.ts
@@ -6,7 +6,7 @@
  */
 import { addMilliseconds, type Clock, type Milliseconds } from '@nutmegcourse/shared'
 
-export class Pauses<Name> {
+export class Backoffs<Name> {
   readonly #clock: Clock
   readonly #until = new Map<Name, Milliseconds>()
 
@@ -19,7 +19,7 @@
   }
 
   /** Milliseconds until the backoff of `name` expires; 0 if there is none. */
-  left(name: Name): number {
+  remainingMilliseconds(name: Name): number {
     const until = this.#until.get(name)
     if (until === undefined) return 0
     const remaining = until - this.#clock.now()
--- a/packages/host/src/callerSession.ts
+++ b/packages/host/src/callerSession.ts
@@ -87,7 +87,7 @@
   }
 
   /** When its last statement was answered, or when it was accepted if none was. */
-  get restingSince(): Milliseconds {
+  get idleSince(): Milliseconds {
     return this.#idleSince
   }
 
@@ -182,9 +182,10 @@
       return
     }
     if (intake === 'brief') this.closeAfterWork()
-    if (!this.#routes.isKnown) await this.#routes.whenKnown(CONFIGURATION_WAIT_MILLISECONDS)
+    if (!this.#routes.hasConfiguration)
+      await this.#routes.whenConfigured(CONFIGURATION_WAIT_MILLISECONDS)
     if (this.#isEnded) return
-    if (!this.#routes.isKnown) {
+    if (!this.#routes.hasConfiguration) {
       this.#refuseSession('tooManyCallers', 'this host has no configuration yet')
       return
     }
@@ -194,7 +195,7 @@
       return
     }
     this.#isAccepted = true
-    this.#link.welcome()
+    this.#link.acceptSession()
     if (this.#queue.length > 0) void this.#serveQueue(statements)
     else if (this.#closing === 'whenIdle') this.#closeIfIdle()
   }
--- a/packages/host/src/newsBudget.ts
+++ b/packages/host/src/changeDelayBudget.ts
@@ -4,7 +4,7 @@
  *
  * @internal
  */
-import { LONGEST_DRAW } from '@nutmegcourse/shared'
+import { MAX_JITTER_FACTOR } from '@nutmegcourse/shared'
 
 /** Spans in milliseconds. */
 export interface ChangeDelayBudget {
@@ -112,11 +112,13 @@
 
 /** From the end of a silent watch's wait: its response times out, and a new connection reports the change. */
 function delayFromWatchEnd(budget: ChangeDelayBudget): number {
-  return budget.answer + budget.shortestRetryDelay * LONGEST_DRAW + budget.answer
+  return budget.answer + budget.shortestRetryDelay * MAX_JITTER_FACTOR + budget.answer
 }
 
 /** The store compacts a change without reporting it and cuts the watch; the next watch fails, and a list follows. */
 function historyLossDelay(budget: ChangeDelayBudget): number {
   const detection = budget.firstWatch + budget.answer
-  return SILENCE_MILLISECONDS + budget.shortestRetryDelay * LONGEST_DRAW + detection + budget.answer
+  return (
+    SILENCE_MILLISECONDS + budget.shortestRetryDelay * MAX_JITTER_FACTOR + detection + budget.answer
+  )
 }
--- a/packages/host/src/newsMessages.ts
+++ b/packages/host/src/changeFeedMessages.ts
@@ -6,7 +6,7 @@
 import type { FleetConfiguration, RevisedChange } from '@nutmegcourse/protocol'
 
 /** Requests the changes after a revision, waiting for the first one. */
-export interface NewsQuestion {
+export interface ChangeFeedRequest {
   readonly after: number
   /** How long to wait for a change, in milliseconds. */
   readonly wait: number
@@ -28,7 +28,7 @@
   readonly waited: number
 }
 
-export type NewsAnswer =
+export type ChangeFeedResponse =
   | ChangeFeedUpdate
   /** The host does not watch the store itself, or cannot reach it. */
   | { readonly kind: 'declined' }
--- a/packages/host/src/zoneNews.ts
+++ b/packages/host/src/changeFeedReader.ts
@@ -6,25 +6,25 @@
 import { addMilliseconds, type Milliseconds } from '@nutmegcourse/shared'
 import type { DirectoryEvents } from '@nutmegcourse/protocol'
 import type { HostContext } from './hostContext.js'
-import type { ChangeAge } from './newsDesk.js'
+import type { ChangeAge } from './changeFeedServer.js'
 import {
   readFeedChange,
-  type NewsAnswer,
-  type NewsQuestion,
+  type ChangeFeedResponse,
+  type ChangeFeedRequest,
   type ChangeFeedUpdate,
-} from './newsMessages.js'
-import { Pauses } from './pauses.js'
+} from './changeFeedMessages.js'
+import { Backoffs } from './backoffs.js'
 
 /** A host of the zone that can forward changes of the store. */
-export interface NewsPeer {
+export interface ChangeFeedSource {
   readonly name: string
   /** Null when no response arrived within `limit` milliseconds. */
-  askNews(question: NewsQuestion, limit: number): Promise<NewsAnswer | null>
+  requestChanges(question: ChangeFeedRequest, limit: number): Promise<ChangeFeedResponse | null>
 }
 
 export interface ChangeFeedSources {
   /** The hosts to request changes from, in order of preference; empty when this host watches the store itself. */
-  changeFeedSources(): readonly NewsPeer[]
+  changeFeedSources(): readonly ChangeFeedSource[]
 }
 
 export interface ReceivedChanges extends ChangeAge {
@@ -42,12 +42,12 @@
 export class ChangeFeedReader {
   readonly #context: HostContext
   readonly #sources: ChangeFeedSources
-  readonly #skipped: Pauses<string>
+  readonly #skipped: Backoffs<string>
 
   constructor(context: HostContext, peers: ChangeFeedSources) {
     this.#context = context
     this.#sources = peers
-    this.#skipped = new Pauses(context.clock)
+    this.#skipped = new Backoffs(context.clock)
   }
 
   /** Whether some host of the zone can be asked for changes. */
@@ -56,13 +56,13 @@
   }
 
   /** The changes after a revision; null when no host of the zone can provide them. */
-  async watch(question: NewsQuestion): Promise<ReceivedChanges | null> {
+  async watch(question: ChangeFeedRequest): Promise<ReceivedChanges | null> {
     for (;;) {
       const peer = this.#nextSource()
       if (peer === undefined) return null
       const askedAt = this.#context.clock.now()
       const limit = question.wait + ANSWER_ALLOWANCE_MILLISECONDS
-      const answer = await peer.askNews(question, limit)
+      const answer = await peer.requestChanges(question, limit)
       if (answer?.kind === 'news' && answer.revision >= question.after) return read(answer, askedAt)
       this.#skip(peer.name, reasonOf(answer))
       // The timeout has used up the wait, so no other host is tried.
@@ -70,8 +70,10 @@
     }
   }
 
-  #nextSource(): NewsPeer | undefined {
-    return this.#sources.changeFeedSources().find(({ name }) => this.#skipped.left(name) === 0)
+  #nextSource(): ChangeFeedSource | undefined {
+    return this.#sources
+      .changeFeedSources()
+      .find(({ name }) => this.#skipped.remainingMilliseconds(name) === 0)
   }
 
   #skip(host: string, reason: string): void {
@@ -92,7 +94,7 @@
 }
 
 /** A response of an older revision than this host's comes from a host that lags or was paused. */
-function reasonOf(answer: NewsAnswer | null): string {
+function reasonOf(answer: ChangeFeedResponse | null): string {
   switch (answer?.kind) {
     case undefined:
       return 'noAnswer'
--- a/packages/host/src/newsDesk.ts
+++ b/packages/host/src/changeFeedServer.ts
@@ -8,7 +8,7 @@
 import type { DirectoryEvents } from '@nutmegcourse/protocol'
 import { DirectoryHistory } from '@nutmegcourse/state'
 import type { HostContext } from './hostContext.js'
-import type { NewsAnswer, NewsQuestion } from './newsMessages.js'
+import type { ChangeFeedResponse, ChangeFeedRequest } from './changeFeedMessages.js'
 import { Signal } from './waiting.js'
 
 /** Longer than any interval between two requests of one host. */
@@ -23,7 +23,7 @@
   readonly madeSince: Milliseconds
 }
 
-export class NewsDesk {
+export class ChangeFeedServer {
   readonly #context: HostContext
   readonly #history = new DirectoryHistory()
   readonly #changed = new Signal()
@@ -50,19 +50,19 @@
 
   /** Replaces the history by a complete list, which was requested at `askedAt`. */
   takeList({ changes, revision }: DirectoryEvents, askedAt: Milliseconds): void {
-    this.#history.begin(changes, revision, askedAt)
+    this.#history.reset(changes, revision, askedAt)
     this.#serve(askedAt)
   }
 
   /** Adds changes that this host received from the store itself. */
   takeFromStore(events: DirectoryEvents, age: ChangeAge): void {
-    this.#history.note(events.changes, events.revision, age.madeSince)
+    this.#history.append(events.changes, events.revision, age.madeSince)
     this.#serve(age.knownAt)
   }
 
   /** Adds changes forwarded by another host: kept, so that this host can replace it, but not forwarded again. */
   takeFromHost(events: DirectoryEvents, age: ChangeAge): void {
-    this.#history.note(events.changes, events.revision, age.madeSince)
+    this.#history.append(events.changes, events.revision, age.madeSince)
     this.suspend()
   }
 
@@ -78,14 +78,14 @@
     this.#changed.raise()
   }
 
-  async answer({ after, wait, isAwaited }: NewsQuestion): Promise<NewsAnswer> {
+  async answer({ after, wait, isAwaited }: ChangeFeedRequest): Promise<ChangeFeedResponse> {
     const { clock } = this.#context
     const askedAt = clock.now()
     this.#lastReadAt = askedAt
     if (isAwaited) this.#lastAwaitedAt = askedAt
     const until = addMilliseconds(askedAt, wait)
     for (;;) {
-      const found = this.#isServing ? this.#history.after(after) : null
+      const found = this.#isServing ? this.#history.changesAfter(after) : null
       if (found === null) return { kind: 'declined' }
       const now = clock.now()
       if (found.isWhole || found.changes.length > 0 || now >= until) {
--- a/packages/host/src/connectionOpener.ts
+++ b/packages/host/src/connectionOpener.ts
@@ -6,7 +6,7 @@
  */
 import {
   addMilliseconds,
-  drawnApart,
+  jittered,
   milliseconds,
   type CustomerName,
   type Milliseconds,
@@ -14,7 +14,7 @@
 import type { BackendAddress, BackendLink, LinkFailure } from '@nutmegcourse/protocol'
 import { ServiceEstimate } from '@nutmegcourse/state'
 import type { HostContext } from './hostContext.js'
-import { OVERDUE, within } from './waiting.js'
+import { OVERDUE, withDeadline } from './waiting.js'
 
 /** A server that accepts a connection does so within tens of milliseconds, also from another region. */
 const OPEN_TIMEOUT_MILLISECONDS = 1000
@@ -113,7 +113,7 @@
     const { clock, dialer } = this.#context
     const startedAt = clock.now()
     const { link, opened } = dialer.open(this.#address, customer)
-    const result = await within(
+    const result = await withDeadline(
       opened,
       addMilliseconds(startedAt, OPEN_TIMEOUT_MILLISECONDS),
       clock,
@@ -147,7 +147,7 @@
     if (failure.kind === 'connectionRefused') this.refusals += 1
     if (isFull) this.#recordFull(clock.now())
     const span = isFull ? FULL_BACKOFF_MILLISECONDS : REFUSED_BACKOFF_MILLISECONDS
-    this.#mayOpenAt = addMilliseconds(clock.now(), drawnApart(span, random))
+    this.#mayOpenAt = addMilliseconds(clock.now(), jittered(span, random))
     const { server, service } = this.#address
     log.write('connection_not_opened', { server, service, ...failure, waiting, held })
     this.#receiver.failedToOpen(isFull ? 'full' : 'unreachable')
--- a/packages/host/src/customerLimits.ts
+++ b/packages/host/src/customerLimits.ts
@@ -5,8 +5,8 @@
  */
 import type { CustomerName } from '@nutmegcourse/shared'
 import type { HostContext } from './hostContext.js'
-import type { GrantAnswer, LimitDesk, LimitPlan } from './limitDesk.js'
-import { Pauses } from './pauses.js'
+import type { GrantAnswer, LimitGranter, LimitPlan } from './limitGranter.js'
+import { Backoffs } from './backoffs.js'
 import type { RelayPeer } from './relayPeer.js'
 
 export type Admission =
@@ -30,24 +30,24 @@
 
 export class CustomerLimits {
   readonly #context: HostContext
-  readonly #granter: LimitDesk
+  readonly #granter: LimitGranter
   readonly #peers: LimitPeers
   /** Customers whose limits every holder that answered reported as exhausted. */
-  readonly #spent: Pauses<CustomerName>
-  readonly #unresponsive: Pauses<string>
+  readonly #spent: Backoffs<CustomerName>
+  readonly #unresponsive: Backoffs<string>
 
-  constructor(context: HostContext, granter: LimitDesk, peers: LimitPeers) {
+  constructor(context: HostContext, granter: LimitGranter, peers: LimitPeers) {
     this.#context = context
     this.#granter = granter
     this.#peers = peers
-    this.#spent = new Pauses(context.clock)
-    this.#unresponsive = new Pauses(context.clock)
+    this.#spent = new Backoffs(context.clock)
+    this.#unresponsive = new Backoffs(context.clock)
   }
 
   /** Whether one more operation of the customer may run now. */
   async admit(customer: CustomerName): Promise<Admission> {
     if (this.#peers.limitOf(customer) === null) return ADMITTED
-    const spentFor = this.#spent.left(customer)
+    const spentFor = this.#spent.remainingMilliseconds(customer)
     if (spentFor > 0) return this.#overLimit(customer, spentFor)
     let shortest: number | null = null
     for (const holder of this.#peers.limitHolders(customer)) {
@@ -64,7 +64,7 @@
   async #requestGrant(holder: string, customer: CustomerName): Promise<GrantAnswer | null> {
     if (holder === this.#context.settings.entryHost) return this.#granter.answer({ customer })
     const peer = this.#peers.peer(holder)
-    if (peer?.isUp !== true || this.#unresponsive.left(holder) > 0) return null
+    if (peer?.isUp !== true || this.#unresponsive.remainingMilliseconds(holder) > 0) return null
     const answer = await peer.askGrant({ customer }, GRANT_TIMEOUT_MILLISECONDS)
     if (answer === null) this.#unresponsive.begin(holder, HOLDER_BACKOFF_MILLISECONDS)
     return answer
--- a/packages/host/src/entryHost.ts
+++ b/packages/host/src/entryHost.ts
@@ -15,7 +15,7 @@
   Route,
   StoreLink,
 } from '@nutmegcourse/protocol'
-import { STANDSTILL_MILLISECONDS } from '@nutmegcourse/state'
+import { STALL_MILLISECONDS } from '@nutmegcourse/state'
 import { CallerSession } from './callerSession.js'
 import { CustomerLimits, type Admission } from './customerLimits.js'
 import type { DecisionLog } from './decisionLog.js'
@@ -23,17 +23,17 @@
 import { HostFleet } from './hostFleet.js'
 import type { HostMetrics } from './hostMetrics.js'
 import { HostRegistration } from './hostRegistration.js'
-import { LimitDesk } from './limitDesk.js'
-import { NewsDesk } from './newsDesk.js'
+import { LimitGranter } from './limitGranter.js'
+import { ChangeFeedServer } from './changeFeedServer.js'
 import { PlannedStop, type SessionIntake, type StoppingHost } from './plannedStop.js'
-import { RelayServer, type RelayDesks } from './relayServer.js'
+import { RelayServer, type RelayServices } from './relayServer.js'
 import { RelayingRunner } from './relayingRunner.js'
-import type { CallerIdentity, RouteLookup, RoutePlace } from './routeLookup.js'
+import type { CallerIdentity, RouteLookup, RoutedService } from './routeLookup.js'
 import { ServiceRegistry } from './serviceRegistry.js'
-import type { ServiceDesk } from './serviceDesk.js'
+import type { ServiceState } from './serviceState.js'
 import { StatementRunner } from './statementRunner.js'
 import { StoreFollower } from './storeFollower.js'
-import { ChangeFeedReader } from './zoneNews.js'
+import { ChangeFeedReader } from './changeFeedReader.js'
 
 /** The outside systems that an entry host uses. */
 export interface EntryHostPorts {
@@ -58,9 +58,9 @@
 
 const UNCONFIRMED: CallerIdentity = { kind: 'unconfirmed' }
 
-export class EntryHost implements RouteLookup, RelayDesks, StoppingHost {
-  readonly news: NewsDesk
-  readonly limits: LimitDesk
+export class EntryHost implements RouteLookup, RelayServices, StoppingHost {
+  readonly changeFeed: ChangeFeedServer
+  readonly limits: LimitGranter
   readonly #context: HostContext
   readonly #ports: EntryHostPorts
   readonly #fleet: HostFleet
@@ -90,8 +90,8 @@
     this.#ports = ports
     this.#lastTick = clock.now()
     this.#fleet = new HostFleet(this.#context)
-    this.news = new NewsDesk(this.#context)
-    this.#services = new ServiceRegistry(this.#context, ports, this.#fleet, this.news, () => {
+    this.changeFeed = new ChangeFeedServer(this.#context)
+    this.#services = new ServiceRegistry(this.#context, ports, this.#fleet, this.changeFeed, () => {
       this.#registration.storeRestored()
     })
     const plan = {
@@ -99,14 +99,14 @@
       limitHolders: (customer: CustomerName) => this.#fleet.limitHolders(customer),
       peer: (host: string) => this.#fleet.peer(host),
     }
-    this.limits = new LimitDesk(this.#context, plan)
+    this.limits = new LimitGranter(this.#context, plan)
     this.#customerLimits = new CustomerLimits(this.#context, this.limits, plan)
     const runner = new StatementRunner(this.#context)
     this.#runner = new RelayingRunner(this.#context, runner, this.#fleet)
     this.#relay = new RelayServer(this.#context, runner, this)
     this.#follower = new StoreFollower(this.#context, ports.store, this.#services, {
       reader: new ChangeFeedReader(this.#context, this.#fleet),
-      server: this.news,
+      server: this.changeFeed,
     })
     this.#registration = new HostRegistration(this.#context, ports.store, this.#services, () => {
       this.limits.joined()
@@ -122,7 +122,7 @@
     return this.#context.settings.entryHost
   }
 
-  get isKnown(): boolean {
+  get hasConfiguration(): boolean {
     return this.#services.hasConfiguration
   }
 
@@ -154,11 +154,11 @@
     return this.#services.idleTransactionMilliseconds
   }
 
-  whenKnown(span: number): Promise<void> {
+  whenConfigured(span: number): Promise<void> {
     return this.#services.whenConfigured(span)
   }
 
-  find(database: string): RoutePlace | null {
+  find(database: string): RoutedService | null {
     return this.#services.find(database)
   }
 
@@ -178,7 +178,7 @@
     return this.#customerLimits.admit(customer)
   }
 
-  serve(name: string): ServiceDesk | null {
+  serve(name: string): ServiceState | null {
     if (this.#stopping !== null) return null
     const service = this.#services.service(name) ?? null
     if (service !== null && !service.isOwned) service.standIn(this.#context.clock.now())
@@ -225,7 +225,7 @@
     this.#stopping = new PlannedStop(this.#context, this)
     void this.#registration.withdraw()
     this.#relay.leave()
-    this.news.stop()
+    this.changeFeed.stop()
     this.limits.leave()
     await this.#stopping.run()
     this.close()
@@ -258,7 +258,7 @@
   #tick(): void {
     const now = this.#context.clock.now()
     const sinceTick = now - this.#lastTick
-    const wasStalled = sinceTick > STANDSTILL_MILLISECONDS
+    const wasStalled = sinceTick > STALL_MILLISECONDS
     if (wasStalled) {
       this.#context.log.write('stood_still', { milliseconds: Math.round(sinceTick) })
     }
--- a/packages/host/src/failoverController.ts
+++ b/packages/host/src/failoverController.ts
@@ -12,7 +12,7 @@
 import {
   PrimaryChoice,
   PrimarySuspicion,
-  RANK_PAUSE_MILLISECONDS,
+  RANK_DELAY_MILLISECONDS,
   VOTE_LIFETIME_MILLISECONDS,
   mixHashes,
   readChangeRecord,
@@ -35,8 +35,8 @@
 import { GroupOrderSender } from './groupOrderSender.js'
 import type { HostContext } from './hostContext.js'
 import { CALL_LIMIT_MILLISECONDS, PrimaryClaims, type Claim } from './primaryClaim.js'
-import type { ServiceDesk } from './serviceDesk.js'
-import { rest } from './waiting.js'
+import type { ServiceState } from './serviceState.js'
+import { sleep } from './waiting.js'
 
 /** Rounds of one claim; each queries all servers again. */
 const MAX_ROUNDS = 40
@@ -59,7 +59,7 @@
 
 export class FailoverController {
   readonly #context: HostContext
-  readonly #service: ServiceDesk
+  readonly #service: ServiceState
   readonly #directory: ServerDirectory
   readonly #store: StoreLink
   readonly #promotion: PromotionPort
@@ -76,7 +76,7 @@
 
   constructor(
     context: HostContext,
-    service: ServiceDesk,
+    service: ServiceState,
     directory: ServerDirectory,
     store: StoreLink,
     promotion: PromotionPort,
@@ -106,7 +106,7 @@
     if (record?.phase === 'done') {
       this.#abandonedAt = null
       this.#suspendFor(now, SETTLE_MILLISECONDS)
-      if (before?.revision !== revision) this.#service.toldToLead(record.primary, now)
+      if (before?.revision !== revision) this.#service.recordPromotion(record.primary, now)
     } else if (record?.phase === 'claimed') this.#abandonedAt = null
     else if (before?.record.phase === 'claimed') this.#abandonedAt = now
   }
@@ -125,10 +125,10 @@
 
   receiveSuspicion(host: string, value: string | null): void {
     const suspicion = value === null ? null : readSuspicionRecord(value)
-    if (suspicion === null) this.#suspicion.heardNoVote(host)
+    if (suspicion === null) this.#suspicion.removeVote(host)
     else if (suspicion.reaches) {
-      this.#suspicion.heardDenial(host, suspicion.primary, this.#context.clock.now())
-    } else this.#suspicion.heardVote(host, suspicion.primary, this.#context.clock.now())
+      this.#suspicion.recordDenial(host, suspicion.primary, this.#context.clock.now())
+    } else this.#suspicion.recordVote(host, suspicion.primary, this.#context.clock.now())
   }
 
   tick(now: Milliseconds): void {
@@ -144,7 +144,7 @@
 
   #reasonToChange(now: Milliseconds): string | null {
     const rank = this.#rank()
-    const turn = rank * RANK_PAUSE_MILLISECONDS
+    const turn = rank * RANK_DELAY_MILLISECONDS
     if (this.#abandonedAt !== null && now >= addMilliseconds(this.#abandonedAt, turn)) {
       return 'abandoned'
     }
@@ -154,18 +154,22 @@
     const leavingSince = known?.leavingSince ?? null
     if (leavingSince !== null && now >= addMilliseconds(leavingSince, turn)) return 'leaving'
     const { server } = primary.entry
-    const isAccused = this.#suspicion.isAccused(server, now)
-    if (isAccused) primary.askForLife(now)
+    const isAccused = this.#suspicion.isSuspected(server, now)
+    if (isAccused) primary.probeLiveness(now)
     const signs = {
       primary: server,
-      silentMilliseconds: primary.silentFor(now),
+      silentMilliseconds: primary.silentMilliseconds(now),
       refusals: primary.pool.refusals,
-      logGrewAgo: now - this.#service.logGrewAt,
-      reachedThroughOthersAgo: now - this.#service.reachedThroughOthersAt,
+      logGrewAgo: now - this.#service.lastReplicaProgressAt,
+      reachedThroughOthersAgo: now - this.#service.lastRelayedAnswerAt,
     }
     const advice = this.#suspicion.advise(signs, this.#observers().length, rank, now)
     if (advice !== 'trust') this.#castVote({ primary: server, reaches: false }, now)
-    else if (isAccused && this.#service.reachesPrimary(now) && this.#service.hasHeardPrimary(now)) {
+    else if (
+      isAccused &&
+      this.#service.reachesPrimary(now) &&
+      this.#service.heardPrimaryRecently(now)
+    ) {
       this.#castVote({ primary: server, reaches: true }, now)
     } else this.#withdrawVote()
     return advice === 'act' ? 'silent' : null
@@ -225,7 +229,7 @@
       primary: this.#service.primary?.entry.server ?? null,
     })
     for (let round = 0; round < MAX_ROUNDS; round += 1) {
-      if (round > 0) await rest(ROUND_PAUSE_MILLISECONDS)
+      if (round > 0) await sleep(ROUND_PAUSE_MILLISECONDS)
       const next = await this.#round(claim)
       if (next === 'again') continue
       if (next === 'done') await this.#store.endLease(claim.lease, CALL_LIMIT_MILLISECONDS)
@@ -273,7 +277,7 @@
       fencingToken: claim.token,
     }
     for (let attempt = 0; attempt < MAX_PROMOTION_ATTEMPTS; attempt += 1) {
-      if (attempt > 0) await rest(ROUND_PAUSE_MILLISECONDS)
+      if (attempt > 0) await sleep(ROUND_PAUSE_MILLISECONDS)
       const outcome = await this.#promotion.promote(order, CALL_LIMIT_MILLISECONDS)
       this.#context.log.write('promotion_ordered', { ...order, outcome: outcome.kind })
       switch (outcome.kind) {
@@ -298,12 +302,12 @@
     while (clock.now() < limit) {
       const report = await this.#orders.report(server)
       if (report?.role === 'primary') {
-        this.#service.toldToLead(server, clock.now())
+        this.#service.recordPromotion(server, clock.now())
         await this.#resumePaused(server)
         await this.#claims.recordDone(claim, server)
         return 'done'
       }
-      await rest(PROMOTION_POLL_INTERVAL_MILLISECONDS)
+      await sleep(PROMOTION_POLL_INTERVAL_MILLISECONDS)
     }
     return 'again'
   }
--- a/packages/host/src/groupOrderSender.ts
+++ b/packages/host/src/groupOrderSender.ts
@@ -12,8 +12,8 @@
 import type { BackendServerState } from './backendServerState.js'
 import type { HostContext } from './hostContext.js'
 import type { PooledLink } from './pooledLink.js'
-import type { ServiceDesk } from './serviceDesk.js'
-import { OVERDUE, rest, within } from './waiting.js'
+import type { ServiceState } from './serviceState.js'
+import { OVERDUE, sleep, withDeadline } from './waiting.js'
 
 /** Limit of one attempt. A server accepts a connection in tens of milliseconds, also over the link. */
 const ORDER_LIMIT_MILLISECONDS = 500
@@ -40,9 +40,9 @@
 
 export class GroupOrderSender implements GroupOrders {
   readonly #context: HostContext
-  readonly #service: ServiceDesk
+  readonly #service: ServiceState
 
-  constructor(context: HostContext, service: ServiceDesk) {
+  constructor(context: HostContext, service: ServiceState) {
     this.#context = context
     this.#service = service
   }
@@ -63,8 +63,8 @@
     return this.#order(server, { kind: 'resume' })
   }
 
-  rest(): Promise<void> {
-    return rest(RETRY_PAUSE_MILLISECONDS)
+  waitBeforeRetry(): Promise<void> {
+    return sleep(RETRY_PAUSE_MILLISECONDS)
   }
 
   async #order(id: BackendServerId, command: BackendCommand): Promise<ServerReport | null> {
@@ -76,7 +76,7 @@
       if (report !== 'noCapacity' && report !== 'noAnswer') return report
       if (report === 'noAnswer') unanswered += 1
       if (unanswered >= MAX_UNANSWERED || clock.now() >= noCapacityDeadline) break
-      await this.rest()
+      await this.waitBeforeRetry()
     }
     this.#context.log.write('order_unanswered', {
       service: this.#service.name,
@@ -97,12 +97,12 @@
     const deadline = addMilliseconds(clock.now(), ORDER_LIMIT_MILLISECONDS)
     const { link, opened } =
       pooled === null ? dialer.open(server.address, null) : alreadyOpen(pooled.link)
-    const isOpen = await within(opened, deadline, clock)
+    const isOpen = await withDeadline(opened, deadline, clock)
     if (isOpen === OVERDUE || isOpen.isErr()) {
       link.close()
       return isOpen !== OVERDUE && isOpen.error.kind === 'rejected' ? 'noCapacity' : 'noAnswer'
     }
-    const reply = await within(link.run(command), deadline, clock)
+    const reply = await withDeadline(link.run(command), deadline, clock)
     if (reply === OVERDUE || reply.isErr()) {
       link.close()
       return 'noAnswer'
@@ -119,7 +119,7 @@
     const { clock } = this.#context
     const now = clock.now()
     // A silent server frees no connection; a new one shows whether it still answers.
-    if (server.silentFor(now) > 0) return null
+    if (server.silentMilliseconds(now) > 0) return null
     const limit = addMilliseconds(now, FREE_CONNECTION_MILLISECONDS)
     const acquired = await server.pool.acquireFirst(limit)
     return 'link' in acquired ? acquired.link : null
--- a/packages/host/src/hostFleet.ts
+++ b/packages/host/src/hostFleet.ts
@@ -25,11 +25,11 @@
 } from '@nutmegcourse/shared'
 import { connectionHolders } from '@nutmegcourse/state'
 import type { HostContext } from './hostContext.js'
-import { Pauses } from './pauses.js'
+import { Backoffs } from './backoffs.js'
 import { RelayPeer } from './relayPeer.js'
-import type { OwnerBook } from './relayingRunner.js'
-import type { ServiceDesk } from './serviceDesk.js'
-import type { ChangeFeedSources } from './zoneNews.js'
+import type { OwnerDirectory } from './relayingRunner.js'
+import type { ServiceState } from './serviceState.js'
+import type { ChangeFeedSources } from './changeFeedReader.js'
 
 /** Hosts register again within a second of learning that the store was restored; learning it takes some more time. */
 const RE_REGISTRATION_MILLISECONDS = 8000
@@ -45,7 +45,7 @@
  */
 const MIN_OBSERVERS = 9
 
-export class HostFleet implements OwnerBook, ChangeFeedSources {
+export class HostFleet implements OwnerDirectory, ChangeFeedSources {
   readonly #context: HostContext
   readonly #hosts = new Map<string, HostRecord>()
   readonly #peers = new Map<string, RelayPeer>()
@@ -64,7 +64,7 @@
   readonly #missingHosts = new Set<string>()
   #reRegistrationDeadline = milliseconds(0)
   /** Services whose primary was recently looked for through other hosts. */
-  readonly #indirectPauses: Pauses<string>
+  readonly #indirectPauses: Backoffs<string>
   /** The hosts through which this one follows the store, in order of preference. */
   #changeFeedHosts: readonly string[] = []
   /** Whether the plans reflect the known hosts and services. */
@@ -72,7 +72,7 @@
 
   constructor(context: HostContext) {
     this.#context = context
-    this.#indirectPauses = new Pauses(context.clock)
+    this.#indirectPauses = new Backoffs(context.clock)
   }
 
   observersOf(service: string): readonly string[] {
@@ -122,7 +122,7 @@
    * Plans which hosts hold connections to which service, if the known hosts or the services have changed. Runs once
    * for all changes of a response, because one plan takes draws in proportion to hosts times services.
    */
-  plan(services: Iterable<ServiceDesk>): void {
+  plan(services: Iterable<ServiceState>): void {
     if (this.#isPlanned) return
     this.#isPlanned = true
     const { entryHost, zone, region, requiresKeys } = this.#context.settings
@@ -144,9 +144,9 @@
       )
       // A host that is not listed yet connects to the servers itself: it knows too little of the other hosts.
       service.isOwned = !this.#hosts.has(entryHost) || plan.owners.includes(entryHost)
-      service.holders = service.isOwned ? holders : Math.max(holders, this.#substituteCount)
-      service.holdersByRegion = countByRegion(plan)
-      service.isObserved = service.isOwned || observers.includes(entryHost)
+      service.holderCount = service.isOwned ? holders : Math.max(holders, this.#substituteCount)
+      service.holderCountByRegion = countByRegion(plan)
+      service.isObserver = service.isOwned || observers.includes(entryHost)
       this.#logOwners(service, plan.owners)
     }
   }
@@ -160,7 +160,7 @@
     return new Set([...this.#hosts.values()].map(({ zone }) => zone)).size
   }
 
-  #logOwners({ name, isOwned }: ServiceDesk, owners: readonly string[]): void {
+  #logOwners({ name, isOwned }: ServiceState, owners: readonly string[]): void {
     const plan = `${[...owners].sort().join(' ')} ${String(isOwned)}`
     if (this.#loggedOwners.get(name) === plan) return
     this.#loggedOwners.set(name, plan)
@@ -173,7 +173,7 @@
   }
 
   peersFor(
-    service: ServiceDesk,
+    service: ServiceState,
     customer: CustomerName | null,
     atPrimary: boolean,
   ): RelayPeer[] | null {
@@ -189,7 +189,7 @@
   }
 
   /** The hosts to try, in order; includes this host if it owns connections of the customer. */
-  #hostOrderFor({ name }: ServiceDesk, customer: CustomerName | null): readonly string[] {
+  #hostOrderFor({ name }: ServiceState, customer: CustomerName | null): readonly string[] {
     const order = this.#hostOrder.get(name) ?? []
     const plan = this.#ownerPlans.get(name)
     if (customer === null || plan === undefined) return order
@@ -233,12 +233,12 @@
    * for a short pause: the primary is probably gone, and each statement would be delayed by the attempts.
    */
   #indirectPeers(
-    service: ServiceDesk,
+    service: ServiceState,
     peers: readonly RelayPeer[],
     now: Milliseconds,
   ): RelayPeer[] | null {
-    const isPaused = this.#indirectPauses.left(service.name) > 0
-    const hasHelped = now - service.reachedThroughOthersAt < INDIRECT_PAUSE_MILLISECONDS
+    const isPaused = this.#indirectPauses.remainingMilliseconds(service.name) > 0
+    const hasHelped = now - service.lastRelayedAnswerAt < INDIRECT_PAUSE_MILLISECONDS
     if (peers.length === 0 || (isPaused && !hasHelped)) return null
     this.#indirectPauses.begin(service.name, INDIRECT_PAUSE_MILLISECONDS)
     return peers.slice(0, MAX_INDIRECT_PEERS)
@@ -246,13 +246,13 @@
 
   /** Whether other hosts still run statements for this one. */
   get hasPendingWork(): boolean {
-    return [...this.#peers.values()].some(peer => peer.isOwedAnswers)
+    return [...this.#peers.values()].some(peer => peer.hasPendingCalls)
   }
 
   /** True when hosts were removed because of elapsed time, so that a new plan is needed. */
   tick(now: Milliseconds): boolean {
     for (const [host, peer] of this.#peers) {
-      const isGone = !this.#hosts.has(host) && peer.isLost && !peer.isOwedAnswers
+      const isGone = !this.#hosts.has(host) && peer.isLost && !peer.hasPendingCalls
       if (isGone) this.#dropPeer(host)
       else peer.tick(now)
     }
--- a/packages/host/src/limitDesk.ts
+++ b/packages/host/src/limitGranter.ts
@@ -29,7 +29,7 @@
 /** The clock starts at 0 with the process; an earlier process on this host has granted nothing since then. */
 const PROCESS_START = milliseconds(0)
 
-export class LimitDesk {
+export class LimitGranter {
   readonly #context: HostContext
   readonly #plan: LimitPlan
   readonly #parts = new Map<CustomerName, LimitPart>()
@@ -77,7 +77,7 @@
   ): LimitPart {
     const existing = this.#parts.get(customer)
     if (existing !== undefined) {
-      existing.divide(limit, parts)
+      existing.reconfigure(limit, parts)
       return existing
     }
     const part = new LimitPart(limit, parts, tolerance, this.#grantsSince)
--- a/packages/host/src/plannedStop.ts
+++ b/packages/host/src/plannedStop.ts
@@ -7,7 +7,7 @@
 import type { Milliseconds } from '@nutmegcourse/shared'
 import type { CallerSession } from './callerSession.js'
 import type { HostContext } from './hostContext.js'
-import { rest } from './waiting.js'
+import { sleep } from './waiting.js'
 
 /** Which new sessions this host accepts. */
 export type SessionIntake =
@@ -76,7 +76,7 @@
     this.#log('restingClosed')
     while (this.#hasWorkOrSessions && this.#elapsed < this.#grace * INTAKE_SHARE) {
       for (const session of this.#idleSessions) session.closeWhenIdle()
-      await rest(POLL_INTERVAL_MILLISECONDS)
+      await sleep(POLL_INTERVAL_MILLISECONDS)
     }
     this.#intake = 'none'
     for (const session of this.#host.sessions) session.closeWhenIdle()
@@ -115,7 +115,7 @@
   }
 
   async #waitWhileWorking(limit: number): Promise<void> {
-    while (this.#isWorking && this.#elapsed < limit) await rest(POLL_INTERVAL_MILLISECONDS)
+    while (this.#isWorking && this.#elapsed < limit) await sleep(POLL_INTERVAL_MILLISECONDS)
   }
 
   /** Closes idle sessions one after the other over a share of the grace period; busy ones close after an answer. */
@@ -127,7 +127,7 @@
       for (const session of idle.slice(0, Math.ceil(idle.length / steps))) {
         session.closeWhenIdle()
       }
-      await rest(POLL_INTERVAL_MILLISECONDS)
+      await sleep(POLL_INTERVAL_MILLISECONDS)
     }
   }
 
@@ -135,8 +135,8 @@
   get #idleSessions(): CallerSession[] {
     const before = this.#context.clock.now() - RECENTLY_ACTIVE_MILLISECONDS
     return [...this.#host.sessions]
-      .filter(({ restingSince }) => restingSince < before)
-      .sort((left, right) => left.restingSince - right.restingSince)
+      .filter(({ idleSince: restingSince }) => restingSince < before)
+      .sort((left, right) => left.idleSince - right.idleSince)
   }
 
   #log(step: StopStep): void {
--- a/packages/host/src/primaryProbe.ts
+++ b/packages/host/src/primaryProbe.ts
@@ -6,10 +6,10 @@
  */
 import { addMilliseconds, milliseconds, type Milliseconds } from '@nutmegcourse/shared'
 import type { ReadGuarantee } from '@nutmegcourse/protocol'
-import { runOwn } from './attempt.js'
+import { runCommand } from './attempt.js'
 import type { BackendServerState } from './backendServerState.js'
 import type { HostContext } from './hostContext.js'
-import type { ServiceDesk } from './serviceDesk.js'
+import type { ServiceState } from './serviceState.js'
 
 /**
  * Probes within the shortest age that a route accepts. A read then finds a bound old enough for replicas to have
@@ -27,12 +27,12 @@
 
 export class PrimaryProbe {
   readonly #context: HostContext
-  readonly #service: ServiceDesk
+  readonly #service: ServiceState
   readonly #probing = new Set<BackendServerState>()
   #interval = LONGEST_INTERVAL_MILLISECONDS
   #searchedAt = milliseconds(Number.NEGATIVE_INFINITY)
 
-  constructor(context: HostContext, service: ServiceDesk) {
+  constructor(context: HostContext, service: ServiceState) {
     this.#context = context
     this.#service = service
   }
@@ -51,7 +51,8 @@
     const isFresh = now < addMilliseconds(this.#service.bounds.newestAsOf, this.#interval)
     if (isFresh && primary !== null) return
     if (primary !== null) void this.#probe(primary)
-    const isMissing = primary === null || primary.silentFor(now) > 0 || primary.pool.refusals > 0
+    const isMissing =
+      primary === null || primary.silentMilliseconds(now) > 0 || primary.pool.refusals > 0
     if (!isMissing || now < addMilliseconds(this.#searchedAt, SEARCH_INTERVAL_MILLISECONDS)) return
     this.#searchedAt = now
     for (const server of this.#service.servers) if (server !== primary) void this.#probe(server)
@@ -74,8 +75,8 @@
     const deadline = addMilliseconds(askedAt, ANSWER_LIMIT_MILLISECONDS)
     server.probeSent(askedAt)
     const [begun, ended] = await Promise.all([
-      runOwn(this.#context, link, { kind: 'begin', readOnly: false, after: null }, deadline),
-      runOwn(this.#context, link, { kind: 'rollback' }, deadline),
+      runCommand(this.#context, link, { kind: 'begin', readOnly: false, after: null }, deadline),
+      runCommand(this.#context, link, { kind: 'rollback' }, deadline),
     ])
     if (begun === null || ended?.status !== 'idle') {
       server.pool.discard(link)
@@ -84,10 +85,10 @@
     server.probeAnswered()
     server.pool.release(link)
     const { server: id } = server.entry
-    if (begun.outcome.kind === 'done') this.#service.provedToLead(id, askedAt, begun.position)
+    if (begun.outcome.kind === 'done') this.#service.recordPrimary(id, askedAt, begun.position)
     else if (begun.outcome.refusal === 'notPrimary') {
-      this.#service.sawLog(id, begun.position, clock.now())
-      this.#service.refusedToLead(id, askedAt, 'probe')
+      this.#service.recordReplicaPosition(id, begun.position, clock.now())
+      this.#service.recordNotPrimary(id, askedAt, 'probe')
     }
   }
 }
--- a/packages/host/src/relayMessages.ts
+++ b/packages/host/src/relayMessages.ts
@@ -9,7 +9,7 @@
 import { SessionValues, type PreparedStatement } from '@nutmegcourse/state'
 import type { RouteMessage, SentRoutes } from './relayRoutes.js'
 import type { RemoteStatement } from './attempt.js'
-import type { ServiceDesk } from './serviceDesk.js'
+import type { ServiceState } from './serviceState.js'
 import { StatementTiming, type SessionState, type StatementRequest } from './statements.js'
 
 export const RELAY_METHODS = {
@@ -105,7 +105,7 @@
 export function readRequest(
   message: RequestMessage,
   route: Route,
-  service: ServiceDesk,
+  service: ServiceState,
   now: Milliseconds,
 ): StatementRequest {
   const values = new SessionValues()
@@ -115,7 +115,7 @@
   }
   const session: SessionState = { values, ownPosition: readPosition(message.own) }
   return {
-    desk: service,
+    service,
     route,
     customer: message.customer,
     session,
