--- a/packages/model/__tests__/configurationSpecification.spec.ts
+++ b/packages/model/__tests__/configurationSpecification.spec.ts
@@ -9,30 +9,31 @@
 const BOUNDS = { changes: 2, hosts: 2 }
 
 describe('the configuration specification', () => {
-  test('holds with two racing changes and two hosts', context => {
+  test('holds with two concurrent changes and two hosts', context => {
     const exploration = exploreConfiguration(BOUNDS, 'none')
     context.diagnostic(describeExploration('configuration', BOUNDS, exploration))
     expect(exploration.violation).toEqual(null)
   })
 
   /*
-   * An operator is told "refused" and the change is in force, or "accepted" and it is not; or a
-   * host goes back to an older document that a slow host passes on.
+   * Each row must violate an invariant: an operator receives "refused" for a change that took
+   * effect, or "accepted" for one that did not; or a host returns to an older document that a slow
+   * host forwards.
    */
   const mutations: readonly {
     readonly mutation: ConfigurationMutation
-    readonly breaks: string
+    readonly violates: string
   }[] = [
-    { mutation: 'lastHeardWins', breaks: 'a host never goes back' },
-    { mutation: 'noCompare', breaks: 'a version is accepted once' },
-    { mutation: 'lostMeansRefused', breaks: 'a refused change did not' },
-    { mutation: 'settledByVersion', breaks: 'an accepted change took effect' },
+    { mutation: 'lastReceivedWins', violates: 'a host never returns to an older version' },
+    { mutation: 'noCompare', violates: 'a version is accepted at most once' },
+    { mutation: 'lostMeansRefused', violates: 'a refused change took no effect' },
+    { mutation: 'resolvedByVersion', violates: 'an accepted change took effect' },
   ]
-  for (const { mutation, breaks } of mutations) {
-    test(`breaks with ${mutation}`, context => {
+  for (const { mutation, violates } of mutations) {
+    test(`violates an invariant with the mutation ${mutation}`, context => {
       const exploration = exploreConfiguration(BOUNDS, mutation)
       context.diagnostic(describeExploration(mutation, BOUNDS, exploration))
-      expect(exploration.violation?.invariant).toEqual(breaks)
+      expect(exploration.violation?.invariant).toEqual(violates)
     })
   }
 })
--- a/packages/model/__tests__/failoverCore.spec.ts
+++ b/packages/model/__tests__/failoverCore.spec.ts
@@ -1,7 +1,7 @@
 import { describe, test } from 'node:test'
 import fastCheck from 'fast-check'
 import { expect } from 'earl'
-import { CoreDriver } from '@nutmegcourse/model'
+import { FailoverSimulation } from '@nutmegcourse/model'
 import type { RandomSource } from '@nutmegcourse/shared'
 
 const SEED = 20_261_202
@@ -14,28 +14,31 @@
   size: 'max',
 })
 
-function run(schedule: readonly number[], makeRandom?: (host: number) => RandomSource): CoreDriver {
-  const driver = new CoreDriver(schedule[0] ?? 0, makeRandom)
+function run(
+  schedule: readonly number[],
+  makeRandom?: (incarnation: number) => RandomSource,
+): FailoverSimulation {
+  const simulation = new FailoverSimulation(schedule[0] ?? 0, makeRandom)
   for (const choice of schedule) {
-    driver.step(choice)
-    if (driver.violations.length > 0) break
+    simulation.step(choice)
+    if (simulation.violations.length > 0) break
   }
-  return driver
+  return simulation
 }
 
-describe('FailoverCore under the specification', () => {
+describe('FailoverCore checked against the group specification', () => {
   /*
-   * A caller's acknowledged write is gone after hosts restarted, messages were lost, late or out
-   * of order, and coordinators raced. Cause: a step of the shipped machine that the specification
+   * Guards against losing an acknowledged write when hosts restart, messages are lost, late or out
+   * of order, and coordinators race. It is lost if FailoverCore takes a step that the specification
    * does not allow.
    */
-  test('every step is allowed and every state keeps the invariants', context => {
+  test('takes only allowed steps, and every state keeps the invariants', context => {
     let promotions = 0
     fastCheck.assert(
       fastCheck.property(schedules, schedule => {
-        const driver = run(schedule)
-        promotions += driver.promotions
-        return driver.violations.length === 0
+        const simulation = run(schedule)
+        promotions += simulation.promotions
+        return simulation.violations.length === 0
       }),
       { seed: SEED, numRuns: RUNS },
     )
@@ -43,7 +46,7 @@
     expect(promotions).toBeGreaterThan(RUNS)
   })
 
-  test('terms that are not drawn for each attempt are found out', () => {
+  test('detects terms that are not drawn at random for each attempt', () => {
     const details = fastCheck.check(
       fastCheck.property(schedules, schedule => {
         return run(schedule, () => ({ next: () => 0 })).violations.length === 0
--- a/packages/model/__tests__/groupSpecification.spec.ts
+++ b/packages/model/__tests__/groupSpecification.spec.ts
@@ -14,7 +14,7 @@
     { attempts: 2, writes: 2, reads: false },
   ]
   for (const bound of bounds) {
-    test(`holds with ${JSON.stringify(bound)}`, context => {
+    test(`holds within the bounds ${JSON.stringify(bound)}`, context => {
       const exploration = exploreGroup(bound, 'none')
       context.diagnostic(describeExploration('group', bound, exploration))
       expect(exploration.violation).toEqual(null)
@@ -22,40 +22,41 @@
   }
 
   /*
-   * A caller's acknowledged write is gone, a write told as not run is there, or a read misses the
-   * session's own write. Each row leaves out one guard; the shortest way to the damage is found.
+   * Each row omits one guard and must violate an invariant: an acknowledged write is lost, a write
+   * reported as not run is present, or a read misses a write acknowledged before it,
+   * such as one of its own session. The exploration reports a shortest path to the violation.
    */
   const RACE: GroupBounds = { attempts: 2, writes: 1, reads: false }
   const READ: GroupBounds = { attempts: 1, writes: 1, reads: true }
   const LOST = 'an acknowledged write is in the log of every later primary'
-  const TWO_STARTS = 'a recorded start is where its term starts'
-  const BACK = 'a write told as not run is in no later primary'
+  const WRONG_START = 'a recorded term start matches the start of that term in every log'
+  const NOT_ROLLED_BACK = 'a write reported as not run is in the log of no later primary'
   const mutations: readonly {
     readonly mutation: Mutation
     readonly bounds: GroupBounds
-    readonly breaks: string
+    readonly violates: string
   }[] = [
-    { mutation: 'noFence', bounds: RACE, breaks: TWO_STARTS },
-    { mutation: 'acknowledgeBeforeMajority', bounds: RACE, breaks: LOST },
-    { mutation: 'noTermCheck', bounds: RACE, breaks: LOST },
-    { mutation: 'noFenceCheck', bounds: RACE, breaks: LOST },
-    { mutation: 'noTermRecord', bounds: RACE, breaks: LOST },
-    { mutation: 'sharedTerm', bounds: RACE, breaks: TWO_STARTS },
-    { mutation: 'chooseAny', bounds: RACE, breaks: LOST },
-    { mutation: 'promoteUnfenced', bounds: RACE, breaks: TWO_STARTS },
-    { mutation: 'rollBackBeforeMajority', bounds: RACE, breaks: BACK },
-    { mutation: 'rollBackByAnyLaterTerm', bounds: RACE, breaks: BACK },
+    { mutation: 'noFence', bounds: RACE, violates: WRONG_START },
+    { mutation: 'acknowledgeBeforeMajority', bounds: RACE, violates: LOST },
+    { mutation: 'noTermCheck', bounds: RACE, violates: LOST },
+    { mutation: 'noFenceCheck', bounds: RACE, violates: LOST },
+    { mutation: 'noTermRecord', bounds: RACE, violates: LOST },
+    { mutation: 'sharedTerm', bounds: RACE, violates: WRONG_START },
+    { mutation: 'chooseAny', bounds: RACE, violates: LOST },
+    { mutation: 'promoteUnfenced', bounds: RACE, violates: WRONG_START },
+    { mutation: 'rollBackBeforeMajority', bounds: RACE, violates: NOT_ROLLED_BACK },
+    { mutation: 'rollBackByAnyLaterTerm', bounds: RACE, violates: NOT_ROLLED_BACK },
     {
-      mutation: 'primaryWordAsBound',
+      mutation: 'primaryReportAsBound',
       bounds: READ,
-      breaks: 'a read sees every write acknowledged before it',
+      violates: 'a read sees every write acknowledged before it',
     },
   ]
   for (const row of mutations) {
-    test(`breaks with ${row.mutation}`, context => {
+    test(`violates an invariant with the mutation ${row.mutation}`, context => {
       const exploration = exploreGroup(row.bounds, row.mutation)
       context.diagnostic(describeExploration(row.mutation, row.bounds, exploration))
-      expect(exploration.violation?.invariant).toEqual(row.breaks)
+      expect(exploration.violation?.invariant).toEqual(row.violates)
     })
   }
 })
--- a/packages/model/src/configurationExploration.ts
+++ b/packages/model/src/configurationExploration.ts
@@ -1,4 +1,4 @@
-/** The configuration specification within stated bounds, ready to explore. */
+/** Explores the configuration specification within the given bounds. */
 import {
   configurationSuccessors,
   findConfigurationViolation,
--- a/packages/model/src/configurationSpecification.ts
+++ b/packages/model/src/configurationSpecification.ts
@@ -1,35 +1,35 @@
 /**
- * Configuration versions: operators race to change one document by compare-and-swap, hosts learn
- * it from the store or from each other, and restart with nothing. A swap's answer may be lost; its
- * writer then reads back and looks for its own id.
+ * Specification of configuration changes: operators concurrently change one document by
+ * compare-and-swap; hosts receive it from the store or from each other, and restart without state.
+ * If the answer to a swap is lost, its writer reads the document back and looks for its own id.
  */
 
-/** One accepted document: its version, and which operator's change it is. */
+/** An accepted document: its version and the operator's change that wrote it; 0 for the initial one. */
 export interface Document {
   readonly version: number
   readonly change: number
 }
 
-/** An operator's change, by how far it has come. */
+/** The progress of an operator's change. */
 export type ChangeState =
   | { readonly kind: 'idle' }
-  /** Read the store's document, will swap against it. */
+  /** Read `base` from the store; the swap will expect it. */
   | { readonly kind: 'read'; readonly base: Document }
-  /** Sent the swap, the answer is lost. */
+  /** The swap was sent and its answer was lost. */
   | { readonly kind: 'unanswered'; readonly base: Document }
   | { readonly kind: 'accepted'; readonly version: number }
   | { readonly kind: 'refused' }
-  /** Overtaken by two later versions before it was read back; nobody can tell any more. */
+  /** The store was past the version the swap would have written when it was read back, so the outcome is undecidable. */
   | { readonly kind: 'unknown' }
 
 export interface ConfigurationState {
   readonly stored: Document
   readonly changes: readonly ChangeState[]
-  /** What each host acts on; null after a restart. */
+  /** The document that each host applies; null after a restart. */
   readonly hosts: readonly (Document | null)[]
-  /** The newest version that each host acted on in this life. */
-  readonly actedOn: readonly number[]
-  /** Whose swap took effect, in truth, by version. */
+  /** The newest version that each host has applied in its current incarnation. */
+  readonly newestApplied: readonly number[]
+  /** The documents of the swaps that actually took effect, in order. */
   readonly history: readonly Document[]
 }
 
@@ -40,44 +40,44 @@
 
 export type ConfigurationMutation =
   | 'none'
-  /** A host takes whatever it hears last. */
-  | 'lastHeardWins'
-  /** The store writes without comparing. */
+  /** A host applies the last document received, even if it is older. */
+  | 'lastReceivedWins'
+  /** The store writes without comparing versions. */
   | 'noCompare'
-  /** A lost answer counts as refused. */
+  /** A lost answer is treated as a refusal. */
   | 'lostMeansRefused'
-  /** A lost answer is settled by the version alone. */
-  | 'settledByVersion'
+  /** The outcome after a lost answer is decided by the version alone. */
+  | 'resolvedByVersion'
 
 export type ConfigurationStep =
   | { readonly type: 'read'; readonly change: number }
   | { readonly type: 'swap'; readonly change: number; readonly answered: boolean }
   | { readonly type: 'readBack'; readonly change: number }
   | { readonly type: 'fetch'; readonly host: number }
-  | { readonly type: 'hear'; readonly host: number; readonly from: number }
+  | { readonly type: 'receive'; readonly host: number; readonly from: number }
   | { readonly type: 'restart'; readonly host: number }
 
-const FIRST: Document = { version: 1, change: 0 }
+const INITIAL_DOCUMENT: Document = { version: 1, change: 0 }
 
 export const initialConfiguration = (bounds: ConfigurationBounds): ConfigurationState => ({
-  stored: FIRST,
+  stored: INITIAL_DOCUMENT,
   changes: Array.from({ length: bounds.changes }, () => ({ kind: 'idle' })),
-  hosts: Array.from({ length: bounds.hosts }, () => FIRST),
-  actedOn: Array.from({ length: bounds.hosts }, () => FIRST.version),
-  history: [FIRST],
+  hosts: Array.from({ length: bounds.hosts }, () => INITIAL_DOCUMENT),
+  newestApplied: Array.from({ length: bounds.hosts }, () => INITIAL_DOCUMENT.version),
+  history: [INITIAL_DOCUMENT],
 })
 
 export function configurationSuccessors(
   state: ConfigurationState,
   mutation: ConfigurationMutation,
 ): readonly { readonly step: ConfigurationStep; readonly next: ConfigurationState }[] {
-  return configurationSteps(state).flatMap(step => {
-    const next = takeConfigurationStep(state, step, mutation)
+  return candidateConfigurationSteps(state).flatMap(step => {
+    const next = applyConfigurationStep(state, step, mutation)
     return next === null ? [] : [{ step, next }]
   })
 }
 
-function configurationSteps(state: ConfigurationState): readonly ConfigurationStep[] {
+function candidateConfigurationSteps(state: ConfigurationState): readonly ConfigurationStep[] {
   const ofChanges = state.changes.flatMap((_, change): readonly ConfigurationStep[] => [
     { type: 'read', change },
     { type: 'swap', change, answered: true },
@@ -87,12 +87,12 @@
   const ofHosts = state.hosts.flatMap((_, host): readonly ConfigurationStep[] => [
     { type: 'fetch', host },
     { type: 'restart', host },
-    ...state.hosts.map((__, from): ConfigurationStep => ({ type: 'hear', host, from })),
+    ...state.hosts.map((__, from): ConfigurationStep => ({ type: 'receive', host, from })),
   ])
   return [...ofChanges, ...ofHosts]
 }
 
-function takeConfigurationStep(
+function applyConfigurationStep(
   state: ConfigurationState,
   step: ConfigurationStep,
   mutation: ConfigurationMutation,
@@ -106,10 +106,10 @@
     case 'readBack':
       return readBack(state, step.change, mutation)
     case 'fetch':
-      return learn(state, step.host, state.stored, mutation)
-    case 'hear': {
-      const heard = state.hosts[step.from] ?? null
-      return heard === null ? null : learn(state, step.host, heard, mutation)
+      return applyDocument(state, step.host, state.stored, mutation)
+    case 'receive': {
+      const received = state.hosts[step.from] ?? null
+      return received === null ? null : applyDocument(state, step.host, received, mutation)
     }
     case 'restart':
       return restart(state, step.host)
@@ -141,47 +141,47 @@
 ): ConfigurationState | null {
   const change = state.changes[index]
   if (change?.kind !== 'unanswered') return null
-  return withChange(state, index, settle(state.stored, index, change.base, mutation))
+  return withChange(state, index, resolveOutcome(state.stored, index, change.base, mutation))
 }
 
-/** The version that the swap would have written is its own, another's, not there yet, or passed. */
-function settle(
+/** Compares the stored document with the version that the swap would have written. */
+function resolveOutcome(
   stored: Document,
   index: number,
   base: Document,
   mutation: ConfigurationMutation,
 ): ChangeState {
-  const wanted = base.version + 1
-  const accepted: ChangeState = { kind: 'accepted', version: wanted }
+  const expectedVersion = base.version + 1
+  const accepted: ChangeState = { kind: 'accepted', version: expectedVersion }
   if (mutation === 'lostMeansRefused') return { kind: 'refused' }
-  if (mutation === 'settledByVersion' && stored.version >= wanted) return accepted
+  if (mutation === 'resolvedByVersion' && stored.version >= expectedVersion) return accepted
   if (stored.change === index + 1) return accepted
-  return stored.version > wanted ? { kind: 'unknown' } : { kind: 'refused' }
+  return stored.version > expectedVersion ? { kind: 'unknown' } : { kind: 'refused' }
 }
 
-function learn(
+function applyDocument(
   state: ConfigurationState,
   host: number,
-  heard: Document,
+  received: Document,
   mutation: ConfigurationMutation,
 ): ConfigurationState | null {
   const known = state.hosts[host] ?? null
-  const isNewer = known === null || heard.version > known.version
-  if (!isNewer && mutation !== 'lastHeardWins') return null
-  if (known?.version === heard.version && known.change === heard.change) return null
-  const hosts = state.hosts.map((each, index) => (index === host ? heard : each))
-  const actedOn = state.actedOn.map((version, index) =>
-    index === host ? Math.max(version, heard.version) : version,
+  const isNewer = known === null || received.version > known.version
+  if (!isNewer && mutation !== 'lastReceivedWins') return null
+  if (known?.version === received.version && known.change === received.change) return null
+  const hosts = state.hosts.map((each, index) => (index === host ? received : each))
+  const actedOn = state.newestApplied.map((version, index) =>
+    index === host ? Math.max(version, received.version) : version,
   )
-  return { ...state, hosts, actedOn }
+  return { ...state, hosts, newestApplied: actedOn }
 }
 
-/** A new life remembers nothing, and owes nothing to the last one's word until it has learned. */
+/** A new incarnation has no document and need not match what the previous one applied. */
 function restart(state: ConfigurationState, host: number): ConfigurationState | null {
   if (state.hosts[host] === null) return null
   const hosts = state.hosts.map((each, index) => (index === host ? null : each))
-  const actedOn = state.actedOn.map((version, index) => (index === host ? 0 : version))
-  return { ...state, hosts, actedOn }
+  const actedOn = state.newestApplied.map((version, index) => (index === host ? 0 : version))
+  return { ...state, hosts, newestApplied: actedOn }
 }
 
 const withChange = (
@@ -193,14 +193,14 @@
   changes: state.changes.map((each, place) => (place === index ? change : each)),
 })
 
-/** The name of the first invariant that the state breaks; null when all hold. */
+/** Returns the name of the first invariant that the state violates; null if all hold. */
 export function findConfigurationViolation(state: ConfigurationState): string | null {
   const versions = state.history.map(document => document.version)
   const checks: readonly (readonly [string, boolean])[] = [
-    ['a version is accepted once', new Set(versions).size === versions.length],
+    ['a version is accepted at most once', new Set(versions).size === versions.length],
     ['an accepted change took effect', acceptedTookEffect(state)],
-    ['a refused change did not', refusedDidNot(state)],
-    ['a host never goes back', neverGoesBack(state)],
+    ['a refused change took no effect', refusedTookNoEffect(state)],
+    ['a host never returns to an older version', versionsNeverDecrease(state)],
   ]
   return checks.find(([, holds]) => !holds)?.[0] ?? null
 }
@@ -211,8 +211,10 @@
 const acceptedTookEffect = (state: ConfigurationState): boolean =>
   state.changes.every((change, index) => change.kind !== 'accepted' || tookEffect(state, index))
 
-const refusedDidNot = (state: ConfigurationState): boolean =>
+const refusedTookNoEffect = (state: ConfigurationState): boolean =>
   state.changes.every((change, index) => change.kind !== 'refused' || !tookEffect(state, index))
 
-const neverGoesBack = (state: ConfigurationState): boolean =>
-  state.hosts.every((known, host) => known === null || known.version >= (state.actedOn[host] ?? 0))
+const versionsNeverDecrease = (state: ConfigurationState): boolean =>
+  state.hosts.every(
+    (known, host) => known === null || known.version >= (state.newestApplied[host] ?? 0),
+  )
--- a/packages/model/src/explore.ts
+++ b/packages/model/src/explore.ts
@@ -6,7 +6,7 @@
   readonly initial: State
   readonly successors: (state: State) => readonly { readonly step: Step; readonly next: State }[]
   readonly key: (state: State) => string
-  /** The name of the broken invariant; null while all hold. */
+  /** Returns the name of the violated invariant; null if all hold. */
   readonly violation: (state: State) => string | null
 }
 
@@ -19,7 +19,7 @@
 
 export interface Violation<Step> {
   readonly invariant: string
-  /** A shortest way to it. */
+  /** A shortest sequence of steps from the initial state to the violation. */
   readonly path: readonly Step[]
 }
 
@@ -30,7 +30,7 @@
   readonly state: State
 }
 
-/** Ends the exploration early: one broken state is enough. */
+/** Stops the exploration at the first violation. */
 class ViolationFound extends Error {
   readonly key: string
 
@@ -51,7 +51,7 @@
   const { key, successors, violation } = specification
   const origins = new Map<string, Origin<Step>>()
   const seen = new Set<string>()
-  // The adjacency map asks for a state's steps and then takes them one by one.
+  // getAdjacencyMap requests the steps of a state first and then applies them one by one.
   let current: ReadonlyMap<Step, State> = new Map()
   let transitions = 0
   const startedAt = performance.now()
@@ -109,7 +109,7 @@
   return path
 }
 
-/** One line: the bounds, and what was found within them. */
+/** Formats the bounds and the result of the exploration as one line. */
 export function describeExploration(
   name: string,
   bounds: object,
@@ -117,7 +117,7 @@
 ): string {
   const { seconds, states, transitions, violation } = exploration
   const limits = Object.entries(bounds).map(([bound, value]) => `${bound} ${String(value)}`)
-  const found = violation === null ? 'no violation' : `broken: ${violation.invariant}`
+  const found = violation === null ? 'no violation' : `violated: ${violation.invariant}`
   const size = `${states} states, ${transitions} transitions, ${seconds.toFixed(1)} s`
   return `${name} (${limits.join(', ')}): ${size}, ${found}`
 }
--- a/packages/model/src/coreDriver.ts
+++ b/packages/model/src/failoverSimulation.ts
@@ -1,6 +1,7 @@
 /**
- * Runs shipped failover machines against the group specification: its servers answer them, in any
- * order and with any loss that a schedule asks for, and it judges each choice and each state.
+ * Runs production FailoverCore instances against servers that follow the group specification.
+ * Messages are delivered in any order and lost as the schedule decides; every command and every
+ * state is checked against the specification.
  */
 import {
   SeededRandom,
@@ -22,16 +23,21 @@
   type StoreOutcome,
   type Watcher,
 } from '@nutmegcourse/coordination'
-import { GroupJudge, SERVER_NAMES, type ServerEffect, type ServerPromise } from './groupJudge.js'
+import {
+  GroupConformanceChecker,
+  SERVER_NAMES,
+  type ServerEffect,
+  type FencePromise,
+} from './groupConformanceChecker.js'
 import { SERVERS } from './groupState.js'
 
 const DATABASE = databaseId('salon-db-1')
 const HOSTS = 3
-const LONGEST_STEP_MILLISECONDS = 40
-/** Older messages are lost first, so that a schedule reaches the newer ones. */
-const MOST_UNDER_WAY = 24
+const MAX_TICK_MILLISECONDS = 40
+/** The oldest messages beyond this limit are dropped, so that a schedule reaches the newer ones. */
+const MAX_IN_FLIGHT_MESSAGES = 24
 
-/** Something on its way: to a server, to the store, or to a host. */
+/** A message in flight to a server, to the store or to a host. */
 type Message =
   | {
       readonly kind: 'toServer'
@@ -48,24 +54,25 @@
       readonly kind: 'toHost'
       readonly host: number
       readonly message: FailoverMessage
-      readonly promise?: ServerPromise
+      readonly promise?: FencePromise
     }
 
-export class CoreDriver {
-  readonly #judge = new GroupJudge()
+export class FailoverSimulation {
+  readonly #checker = new GroupConformanceChecker()
   readonly #cores: FailoverCore[]
   readonly #watchers: readonly Watcher[]
-  readonly #makeRandom: (life: number) => RandomSource
+  readonly #makeRandom: (incarnation: number) => RandomSource
   readonly #listed: readonly ListedBackendServer[]
-  #underWay: Message[] = []
+  #inFlight: Message[] = []
   #stored: { record: GroupRecord | null; revision: number }
   #now = 0
-  #lives = 0
-  readonly #cut = new Set<string>()
+  #incarnations = 0
+  readonly #disconnectedLinks = new Set<string>()
 
   constructor(
     seed: number,
-    makeRandom: (life: number) => RandomSource = life => new SeededRandom(seed * 31 + life),
+    makeRandom: (incarnation: number) => RandomSource = incarnation =>
+      new SeededRandom(seed * 31 + incarnation),
   ) {
     this.#makeRandom = makeRandom
     this.#watchers = Array.from({ length: HOSTS }, (_, index) => ({
@@ -73,114 +80,115 @@
       zone: availabilityZoneId(`zone-${index}`),
       region: regionId('kolkata'),
     }))
-    this.#listed = SERVER_NAMES.map((name, index) => listServer(name, `zone-${index}`))
-    this.#stored = { record: firstRecord(), revision: 1 }
+    this.#listed = SERVER_NAMES.map((name, index) => createServerEntry(name, `zone-${index}`))
+    this.#stored = { record: initialRecord(), revision: 1 }
     this.#cores = this.#watchers.map((_, host) => this.#makeCore(host))
     this.#watchers.forEach((_, host) => {
-      this.#greet(host)
+      this.#sendFleet(host)
     })
   }
 
   get violations(): readonly string[] {
-    return this.#judge.violations
+    return this.#checker.violations
   }
 
   get promotions(): number {
-    return this.#judge.promotions
+    return this.#checker.promotions
   }
 
-  /** One step, picked by `choice` among those possible. */
+  /** Takes the step that `choice` selects among those possible. */
   step(choice: number): void {
     const kind = choice % 16
     const pick = Math.floor(choice / 16)
     if (kind < 9) this.#deliver(pick)
-    else if (kind === 9) this.#lose(pick)
+    else if (kind === 9) this.#dropMessage(pick)
     else if (kind < 12) this.#tick(pick)
-    else if (kind === 12) this.#toggleCut(pick)
-    else if (kind === 13) this.#judge.write(pick)
-    else if (kind === 14) this.#judge.replicate(pick)
-    else this.#restartSometimes(pick)
-    this.#judge.check()
+    else if (kind === 12) this.#toggleLink(pick)
+    else if (kind === 13) this.#checker.write(pick)
+    else if (kind === 14) this.#checker.replicate(pick)
+    else this.#restartOccasionally(pick)
+    this.#checker.checkInvariants()
   }
 
   #makeCore(host: number): FailoverCore {
-    this.#lives += 1
-    const life = this.#lives
+    this.#incarnations += 1
+    const incarnation = this.#incarnations
     let attempts = 0
-    const self = this.#watchers[host] ?? fail('no such host')
-    return new FailoverCore({ database: DATABASE, self }, this.#makeRandom(life), () => {
+    const self = this.#watchers[host] ?? fail(`host index ${host} is out of range`)
+    return new FailoverCore({ database: DATABASE, self }, this.#makeRandom(incarnation), () => {
       attempts += 1
-      return attemptId(`${life}-${attempts}`)
+      return attemptId(`${incarnation}-${attempts}`)
     })
   }
 
-  #greet(host: number): void {
+  #sendFleet(host: number): void {
     this.#send(host, { kind: 'watchers', watchers: this.#watchers })
     this.#send(host, { kind: 'backendServers', servers: this.#listed })
   }
 
   #send(host: number, message: FailoverMessage): void {
     const effects = this.#cores[host]?.handle(message, milliseconds(this.#now)) ?? []
-    for (const effect of effects) this.#take(host, effect)
-    this.#underWay = this.#underWay.slice(-MOST_UNDER_WAY)
+    for (const effect of effects) this.#handleEffect(host, effect)
+    this.#inFlight = this.#inFlight.slice(-MAX_IN_FLIGHT_MESSAGES)
   }
 
-  #take(host: number, effect: FailoverEffect): void {
+  #handleEffect(host: number, effect: FailoverEffect): void {
     switch (effect.kind) {
       case 'askPosition':
       case 'fence':
       case 'promote':
       case 'follow':
-        this.#judge.judge(effect)
-        this.#underWay.push({ kind: 'toServer', host, effect, askedAt: this.#now })
+        this.#checker.checkEffect(effect)
+        this.#inFlight.push({ kind: 'toServer', host, effect, askedAt: this.#now })
         return
       case 'readRecord':
       case 'swapRecord':
-        this.#underWay.push({ kind: 'toStore', host, effect })
+        this.#inFlight.push({ kind: 'toStore', host, effect })
         return
       case 'tellWatchers':
-        this.#tellOthers(host, { kind: 'opinion', opinion: effect.opinion })
+        this.#broadcast(host, { kind: 'opinion', opinion: effect.opinion })
         return
       case 'announce':
-        this.#judge.judgeRecord(effect.record)
-        this.#tellOthers(host, { kind: 'record', record: effect.record, revision: effect.revision })
+        this.#checker.checkRecord(effect.record)
+        this.#broadcast(host, { kind: 'record', record: effect.record, revision: effect.revision })
         return
       case 'event':
         return
     }
   }
 
-  #tellOthers(host: number, message: FailoverMessage): void {
+  #broadcast(host: number, message: FailoverMessage): void {
     this.#cores.forEach((_, other) => {
-      if (other !== host) this.#underWay.push({ kind: 'toHost', host: other, message })
+      if (other !== host) this.#inFlight.push({ kind: 'toHost', host: other, message })
     })
   }
 
   #deliver(pick: number): void {
-    const message = this.#remove(pick)
+    const message = this.#removeInFlight(pick)
     if (message === null) return
     this.#now += 1
     switch (message.kind) {
       case 'toServer':
-        this.#answer(message)
+        this.#executeOnServer(message)
         return
       case 'toStore': {
         const outcome = this.#runStore(message.effect)
         const { call } = message.effect
-        const answer: FailoverMessage = { kind: 'storeAnswered', call, outcome }
-        this.#underWay.push({ kind: 'toHost', host: message.host, message: answer })
+        const reply: FailoverMessage = { kind: 'storeAnswered', call, outcome }
+        this.#inFlight.push({ kind: 'toHost', host: message.host, message: reply })
         return
       }
       case 'toHost':
-        if (message.promise !== undefined) this.#judge.notePromise(message.promise, message.message)
+        if (message.promise !== undefined)
+          this.#checker.recordPromise(message.promise, message.message)
         this.#send(message.host, message.message)
         return
     }
   }
 
-  /** A message that is lost; a caller learns of it as of a timeout, whether or not it ran. */
-  #lose(pick: number): void {
-    const message = this.#remove(pick)
+  /** Drops a message without executing it. The sender of a call gets a timeout or a failed outcome. */
+  #dropMessage(pick: number): void {
+    const message = this.#removeInFlight(pick)
     if (message === null) return
     if (message.kind === 'toStore') {
       const { call } = message.effect
@@ -190,31 +198,31 @@
     if (message.kind === 'toServer') this.#failCall(message, 'timeout')
   }
 
-  #answer(message: Extract<Message, { kind: 'toServer' }>): void {
+  #executeOnServer(message: Extract<Message, { kind: 'toServer' }>): void {
     const { effect, host } = message
     const server = SERVER_NAMES.indexOf(effect.server)
-    if (this.#cut.has(`${host}-${server}`)) {
+    if (this.#disconnectedLinks.has(`${host}-${server}`)) {
       this.#failCall(message, 'refused')
       return
     }
-    const isTaken = this.#judge.run(effect, server)
-    if (!isTaken) {
+    const isAccepted = this.#checker.executeCommand(effect, server)
+    if (!isAccepted) {
       this.#failCall(message, 'staleTerm')
       return
     }
-    const report = this.#judge.report(server)
+    const report = this.#checker.report(server)
     if (effect.kind === 'askPosition') {
       const askedAt = milliseconds(message.askedAt)
       this.#reply(host, { kind: 'positionAnswered', server: effect.server, report, askedAt })
       return
     }
-    const attempt = effect.kind === 'fence' ? this.#judge.attemptOf(effect.term) : -1
-    const answer: FailoverMessage = { kind: 'controlAnswered', call: effect.call, report }
-    this.#reply(host, answer, attempt === -1 ? undefined : { attempt, server })
+    const attempt = effect.kind === 'fence' ? this.#checker.attemptIndexOf(effect.term) : -1
+    const reply: FailoverMessage = { kind: 'controlAnswered', call: effect.call, report }
+    this.#reply(host, reply, attempt === -1 ? undefined : { attempt, server })
   }
 
-  #reply(host: number, message: FailoverMessage, promise?: ServerPromise): void {
-    this.#underWay.push({ kind: 'toHost', host, message, ...(promise && { promise }) })
+  #reply(host: number, message: FailoverMessage, promise?: FencePromise): void {
+    this.#inFlight.push({ kind: 'toHost', host, message, ...(promise && { promise }) })
   }
 
   #failCall(
@@ -238,32 +246,32 @@
   }
 
   #tick(pick: number): void {
-    this.#now += pick % LONGEST_STEP_MILLISECONDS
+    this.#now += pick % MAX_TICK_MILLISECONDS
     this.#cores.forEach((_, host) => {
       if (pick % (HOSTS + 1) !== host) this.#send(host, { kind: 'tick' })
     })
   }
 
-  #toggleCut(pick: number): void {
+  #toggleLink(pick: number): void {
     const link = `${pick % HOSTS}-${Math.floor(pick / HOSTS) % SERVERS}`
-    if (!this.#cut.delete(link)) this.#cut.add(link)
+    if (!this.#disconnectedLinks.delete(link)) this.#disconnectedLinks.add(link)
   }
 
-  /** A host starts anew and remembers nothing; its messages under way stay under way. */
-  #restartSometimes(pick: number): void {
+  /** Restarts a host without state. Messages to it are discarded; its calls in flight stay in flight. */
+  #restartOccasionally(pick: number): void {
     if (pick % 4 !== 0) return
     const host = Math.floor(pick / 4) % HOSTS
-    this.#underWay = this.#underWay.filter(
+    this.#inFlight = this.#inFlight.filter(
       message => message.kind !== 'toHost' || message.host !== host,
     )
     this.#cores[host] = this.#makeCore(host)
-    this.#greet(host)
+    this.#sendFleet(host)
   }
 
-  #remove(pick: number): Message | null {
-    const place = this.#underWay.length === 0 ? -1 : pick % this.#underWay.length
-    const message = this.#underWay[place] ?? null
-    this.#underWay = this.#underWay.filter(each => each !== message)
+  #removeInFlight(pick: number): Message | null {
+    const place = this.#inFlight.length === 0 ? -1 : pick % this.#inFlight.length
+    const message = this.#inFlight[place] ?? null
+    this.#inFlight = this.#inFlight.filter(each => each !== message)
     return message
   }
 }
@@ -272,7 +280,7 @@
   throw new Error(detail)
 }
 
-const firstRecord = (): GroupRecord => ({
+const initialRecord = (): GroupRecord => ({
   database: DATABASE,
   term: term(1),
   primary: backendServerId('server-0'),
@@ -282,7 +290,7 @@
   termStarts: [],
 })
 
-const listServer = (name: string, zone: string): ListedBackendServer => ({
+const createServerEntry = (name: string, zone: string): ListedBackendServer => ({
   kind: 'backendServer',
   id: backendServerId(name),
   database: DATABASE,
--- a/packages/model/src/groupExploration.ts
+++ b/packages/model/src/groupExploration.ts
@@ -1,14 +1,14 @@
-/** The group specification within stated bounds, ready to explore. */
+/** Explores the group specification within the given bounds. */
 import { explore, type Exploration } from './explore.js'
 import { findViolation } from './groupInvariants.js'
 import { successors, type GroupStep } from './groupSpecification.js'
-import { initialState, keyOf, type GroupBounds, type Mutation } from './groupState.js'
+import { initialState, canonicalKey, type GroupBounds, type Mutation } from './groupState.js'
 
 export function exploreGroup(bounds: GroupBounds, mutation: Mutation): Exploration<GroupStep> {
   return explore({
     initial: initialState(bounds, mutation),
     successors: state => successors(state, bounds, mutation),
-    key: keyOf,
+    key: canonicalKey,
     violation: state => findViolation(state, mutation),
   })
 }
--- a/packages/model/src/groupInvariants.ts
+++ b/packages/model/src/groupInvariants.ts
@@ -1,7 +1,7 @@
-/** What must hold in every state of the group specification. */
+/** The invariants of the group specification, which must hold in every reachable state. */
 import {
   MAJORITY,
-  comparePlaces,
+  comparePositions,
   positionOf,
   type GroupState,
   type Mutation,
@@ -9,23 +9,29 @@
   type ReadState,
   type ServerState,
 } from './groupState.js'
-import { sharedLength } from './serverRules.js'
+import { commonPrefixLength } from './serverRules.js'
 
-/** The name of the first invariant that the state breaks; null when all hold. */
+/** Returns the name of the first invariant that the state violates; null if all hold. */
 export function findViolation(state: GroupState, mutation: Mutation): string | null {
   const checks: readonly (readonly [string, boolean])[] = [
-    ['a term has one primary', hasOnePrimaryATerm(state)],
-    ['equal places hold equal logs', logsMatch(state)],
-    ['an acknowledged write is in the log of every later primary', keepsAcknowledged(state)],
-    ['a write told as not run is in no later primary', keepsRolledBack(state)],
-    ['a recorded start is where its term starts', startsAreTrue(state)],
-    ['a read sees every write acknowledged before it', readsSee(state, mutation)],
+    ['a term has at most one primary', hasOnePrimaryPerTerm(state)],
+    ['logs that share a record are equal up to it', logsMatch(state)],
+    ['an acknowledged write is in the log of every later primary', keepsAcknowledgedWrites(state)],
+    [
+      'a write reported as not run is in the log of no later primary',
+      excludesRolledBackWrites(state),
+    ],
+    [
+      'a recorded term start matches the start of that term in every log',
+      termStartsMatchLogs(state),
+    ],
+    ['a read sees every write acknowledged before it', readSeesRequiredWrites(state, mutation)],
   ]
   return checks.find(([, holds]) => !holds)?.[0] ?? null
 }
 
-function hasOnePrimaryATerm(state: GroupState): boolean {
-  const terms = state.servers.map(server => server.leads).filter(term => term > 0)
+function hasOnePrimaryPerTerm(state: GroupState): boolean {
+  const terms = state.servers.map(server => server.primaryTerm).filter(term => term > 0)
   return new Set(terms).size === terms.length
 }
 
@@ -35,9 +41,9 @@
   )
 }
 
-/** Where two logs hold a record of one term at one offset, they are equal up to it. */
+/** If two logs hold a record of the same term at the same offset, they must be equal up to it. */
 function haveMatchingLogs(left: ServerState, right: ServerState): boolean {
-  const shared = sharedLength(left.log, right.log)
+  const shared = commonPrefixLength(left.log, right.log)
   return left.log.slice(shared).every((entry, index) => {
     return entry.term !== right.log[shared + index]?.term
   })
@@ -46,25 +52,25 @@
 const contains = (server: ServerState, write: number): boolean =>
   server.log.some(entry => entry.write === write)
 
-function keepsAcknowledged(state: GroupState): boolean {
+function keepsAcknowledgedWrites(state: GroupState): boolean {
   return state.writes.every((write, index) => {
-    if (!write.acknowledged) return true
-    const later = state.servers.filter(server => server.leads > write.term)
+    if (!write.isAcknowledged) return true
+    const later = state.servers.filter(server => server.primaryTerm > write.term)
     return later.every(server => contains(server, index + 1))
   })
 }
 
-function keepsRolledBack(state: GroupState): boolean {
+function excludesRolledBackWrites(state: GroupState): boolean {
   return state.writes.every((write, index) => {
-    if (write.rolledBackBy === 0) return true
-    const later = state.servers.filter(server => server.leads >= write.rolledBackBy)
-    return !write.acknowledged && later.every(server => !contains(server, index + 1))
+    if (write.rolledBackByTerm === 0) return true
+    const later = state.servers.filter(server => server.primaryTerm >= write.rolledBackByTerm)
+    return !write.isAcknowledged && later.every(server => !contains(server, index + 1))
   })
 }
 
-function startsAreTrue(state: GroupState): boolean {
+function termStartsMatchLogs(state: GroupState): boolean {
   return state.servers.every(server =>
-    state.starts.every(start => {
+    state.termStarts.every(start => {
       const opening = server.log.findIndex(entry => entry.term === start.term)
       return opening === -1 || opening === start.startsAfter.offset
     }),
@@ -72,38 +78,38 @@
 }
 
 /**
- * A bound from any majority of answers is at or past every write that the read must see, and
- * whoever is at or past the bound holds them.
+ * The bound from any majority of answers is at or past every write that the read must see, and
+ * every server at or past the bound holds those writes.
  */
-function readsSee(state: GroupState, mutation: Mutation): boolean {
+function readSeesRequiredWrites(state: GroupState, mutation: Mutation): boolean {
   const { read } = state
   if (read === null) return true
-  return boundsOf(read, mutation).every(bound =>
+  return readBounds(read, mutation).every(bound =>
     state.servers.every(server => {
-      if (comparePlaces(positionOf(server, mutation), bound) < 0) return true
-      return read.wanted.every(write => contains(server, write))
+      if (comparePositions(positionOf(server, mutation), bound) < 0) return true
+      return read.requiredWrites.every(write => contains(server, write))
     }),
   )
 }
 
-/** The greatest of each smallest majority's least answers, and the least of those. */
-function boundsOf(read: ReadState, mutation: Mutation): readonly Position[] {
-  if (mutation === 'primaryWordAsBound') {
-    return read.leastOfPrimaries === null ? [] : [read.leastOfPrimaries]
+/** For each minimal majority, the highest of its servers' lowest reported positions; and the lowest of these. */
+function readBounds(read: ReadState, mutation: Mutation): readonly Position[] {
+  if (mutation === 'primaryReportAsBound') {
+    return read.lowestFromPrimaries === null ? [] : [read.lowestFromPrimaries]
   }
-  const places = read.least.map((_, index) => index)
+  const places = read.lowestReported.map((_, index) => index)
   const majorities = places.flatMap(left =>
     places.filter(right => right > left).map(right => [left, right]),
   )
   const bounds = majorities
     .filter(members => members.length === MAJORITY)
-    .map(members => members.flatMap(index => read.least[index] ?? []).reduce(greater))
-  // Once all have answered, the least of these, which a majority is at or past, is enough.
+    .map(members => members.flatMap(index => read.lowestReported[index] ?? []).reduce(greater))
+  // Once all servers have answered, the lowest of these bounds, which a majority is at or past, suffices.
   return [...bounds, bounds.reduce(lesser)]
 }
 
 const greater = (left: Position, right: Position): Position =>
-  comparePlaces(left, right) >= 0 ? left : right
+  comparePositions(left, right) >= 0 ? left : right
 
 const lesser = (left: Position, right: Position): Position =>
-  comparePlaces(left, right) <= 0 ? left : right
+  comparePositions(left, right) <= 0 ? left : right
--- a/packages/model/src/groupObservers.ts
+++ b/packages/model/src/groupObservers.ts
@@ -1,121 +1,125 @@
 /**
- * Proxies, which only look: what they saw held, acknowledged, told as not run, and answered to a
- * read. The more they saw the more they promised, so seeing each state at once is the worst case.
+ * Models the proxies, which observe the servers without changing them: which writes they saw held,
+ * acknowledged or reported as not run, and which positions were reported during a read. Each further
+ * observation adds to their promises, so observing every state at once is the worst case.
  */
 import {
   MAJORITY,
   SERVERS,
-  comparePlaces,
+  comparePositions,
   positionOf,
   type GroupState,
   type Mutation,
   type Position,
   type ReadState,
-  type StartState,
+  type TermStartState,
   type WriteState,
 } from './groupState.js'
 
-/** What a backend server tells of itself, in one answer. */
+/** The position and fence that a backend server reports in one answer. */
 interface Report {
   readonly position: Position
-  readonly fenced: number
+  readonly fencedTerm: number
 }
 
 const NO_HOLDERS = Array.from({ length: SERVERS }, () => false)
 
-/** What proxies saw and told by now: held writes, acknowledgements, rollbacks, a read's answers. */
+/** Updates what proxies have observed and reported: write holders, acknowledgements, rollbacks, read positions. */
 export function observe(state: GroupState, mutation: Mutation): GroupState {
   const positions = state.servers.map(server => positionOf(server, mutation))
   const reports = state.servers.map((server, index) => {
-    return { position: positionAt(positions, index), fenced: server.fenced }
+    return { position: reportedPosition(positions, index), fencedTerm: server.fencedTerm }
   })
-  const starts = state.starts.map(start => observeStart(start, reports, mutation))
+  const starts = state.termStarts.map(start => observeTermStart(start, reports, mutation))
   const writes = state.writes.map(each => observeWrite(each, reports, starts, mutation))
   const { read } = state
-  return { ...state, starts, writes, read: read && observeRead(read, state, positions) }
+  return { ...state, termStarts: starts, writes, read: read && observeRead(read, state, positions) }
 }
 
-function observeStart(
-  start: StartState,
+function observeTermStart(
+  start: TermStartState,
   reports: readonly Report[],
   mutation: Mutation,
-): StartState {
-  if (start.inForce) return start
-  const isIn = ({ position, fenced }: Report): boolean =>
+): TermStartState {
+  if (start.isInForce) return start
+  const isIn = ({ position, fencedTerm: fenced }: Report): boolean =>
     mutation === 'rollBackByAnyLaterTerm'
       ? position.term >= start.term
-      : position.term === start.term && isUnpromised(fenced, start.term, mutation)
+      : position.term === start.term && hasNoLaterFence(fenced, start.term, mutation)
   const holders = start.holders.map((held, index) => held || isIn(reportAt(reports, index)))
   const inForce = count(holders) >= MAJORITY || mutation === 'rollBackBeforeMajority'
-  return inForce ? { ...start, holders: NO_HOLDERS, inForce } : { ...start, holders }
+  return inForce ? { ...start, holders: NO_HOLDERS, isInForce: inForce } : { ...start, holders }
 }
 
 function observeWrite(
   write: WriteState,
   reports: readonly Report[],
-  starts: readonly StartState[],
+  starts: readonly TermStartState[],
   mutation: Mutation,
 ): WriteState {
-  if (write.acknowledged) return write
-  const holds = ({ position, fenced }: Report): boolean =>
+  if (write.isAcknowledged) return write
+  const holds = ({ position, fencedTerm: fenced }: Report): boolean =>
     mutation === 'noTermCheck'
-      ? comparePlaces(position, write) >= 0
+      ? comparePositions(position, write) >= 0
       : position.term === write.term &&
         position.offset >= write.offset &&
-        isUnpromised(fenced, write.term, mutation)
+        hasNoLaterFence(fenced, write.term, mutation)
   const holders = write.holders.map((held, index) => held || holds(reportAt(reports, index)))
   const wanted = mutation === 'acknowledgeBeforeMajority' ? 1 : MAJORITY
   const acknowledged = count(holders) >= wanted
-  if (acknowledged) return { ...write, holders: NO_HOLDERS, acknowledged }
-  const excluding = starts.find(start => start.inForce && leavesOut(start, write))
-  const rolledBackBy = write.rolledBackBy === 0 ? (excluding?.term ?? 0) : write.rolledBackBy
-  return { ...write, holders, rolledBackBy }
+  if (acknowledged) return { ...write, holders: NO_HOLDERS, isAcknowledged: acknowledged }
+  const excluding = starts.find(start => start.isInForce && excludes(start, write))
+  const rolledBackBy =
+    write.rolledBackByTerm === 0 ? (excluding?.term ?? 0) : write.rolledBackByTerm
+  return { ...write, holders, rolledBackByTerm: rolledBackBy }
 }
 
 /**
- * A server that promised a later term may catch up through records of this one on its way there.
- * It is no witness for this term any more: a primary in between, which lacks the record, can
- * still win against it.
+ * A server fenced at a later term may still replicate records of this term while it catches up. It
+ * does not count towards this term's majority: a primary of a term in between, which lacks the
+ * record, can still be chosen over it.
  */
-const isUnpromised = (fenced: number, term: number, mutation: Mutation): boolean =>
+const hasNoLaterFence = (fenced: number, term: number, mutation: Mutation): boolean =>
   fenced <= term || mutation === 'noFenceCheck'
 
-/** By its recorded start alone; the terms between the write's and this one are not walked. */
-const leavesOut = (start: StartState, write: WriteState): boolean =>
+/** Decides by the recorded start alone, without checking the terms between the write's and this one. */
+const excludes = (start: TermStartState, write: WriteState): boolean =>
   start.term > write.term &&
   start.startsAfter.term <= write.term &&
-  comparePlaces(start.startsAfter, write) < 0
+  comparePositions(start.startsAfter, write) < 0
 
 function observeRead(
   read: ReadState,
   state: GroupState,
   positions: readonly Position[],
 ): ReadState {
-  const least = read.least.map((known, index) => lesser(known, positionAt(positions, index)))
-  const words = state.servers.flatMap((server, index) =>
-    server.leads === 0 ? [] : [positionAt(positions, index)],
+  const least = read.lowestReported.map((known, index) =>
+    lesser(known, reportedPosition(positions, index)),
   )
-  const known = read.leastOfPrimaries
-  const leastOfPrimaries = [...(known === null ? [] : [known]), ...words].reduce<Position | null>(
-    (lowest, each) => (lowest === null ? each : lesser(lowest, each)),
-    null,
+  const primaryPositions = state.servers.flatMap((server, index) =>
+    server.primaryTerm === 0 ? [] : [reportedPosition(positions, index)],
   )
-  return { ...read, least, leastOfPrimaries }
+  const known = read.lowestFromPrimaries
+  const leastOfPrimaries = [
+    ...(known === null ? [] : [known]),
+    ...primaryPositions,
+  ].reduce<Position | null>((lowest, each) => (lowest === null ? each : lesser(lowest, each)), null)
+  return { ...read, lowestReported: least, lowestFromPrimaries: leastOfPrimaries }
 }
 
 const lesser = (left: Position, right: Position): Position =>
-  comparePlaces(left, right) <= 0 ? left : right
+  comparePositions(left, right) <= 0 ? left : right
 
 const count = (flags: readonly boolean[]): number => flags.filter(Boolean).length
 
-function positionAt(positions: readonly Position[], index: number): Position {
+function reportedPosition(positions: readonly Position[], index: number): Position {
   const position = positions[index]
-  if (position === undefined) throw new Error(`no position ${index}`)
+  if (position === undefined) throw new Error(`no position for server index ${index}`)
   return position
 }
 
 function reportAt(reports: readonly Report[], index: number): Report {
   const report = reports[index]
-  if (report === undefined) throw new Error(`no report ${index}`)
+  if (report === undefined) throw new Error(`no report for server index ${index}`)
   return report
 }
--- a/packages/model/src/groupSpecification.ts
+++ b/packages/model/src/groupSpecification.ts
@@ -1,16 +1,18 @@
 /**
- * What a database group and those around it may do: write, replicate, acknowledge, fence, choose,
- * promote, follow, and read by a bound. Any step may come at any time, so a step that never comes
- * stands for a lost message, a dead process or a partition, and a late one for a frozen process.
+ * The steps that a database group and its coordinators and callers may take: write, replicate,
+ * acknowledge, fence, choose, promote, follow, and read by a bound. Any step may occur at any time,
+ * so a step that never occurs models a lost message, a dead process or a partition, and a late step
+ * models a paused process.
  *
- * Observers only look, and the more they saw the more they promised. So they see each state as
- * soon as it stands: that is their worst case, and spares the orders in which answers may arrive.
+ * Observers change nothing, and each further observation adds to their promises. They therefore
+ * observe each state as soon as it is reached: that is the worst case, and it avoids exploring the
+ * orders in which answers may arrive.
  */
 import { observe } from './groupObservers.js'
 import {
   MAJORITY,
   SERVERS,
-  comparePlaces,
+  comparePositions,
   positionOf,
   type AttemptState,
   type GroupBounds,
@@ -20,7 +22,13 @@
   type ServerState,
   type WriteState,
 } from './groupState.js'
-import { caughtUpBy, fencedAt, followingAt, promotedAt, writtenAt } from './serverRules.js'
+import {
+  replicateNextRecord,
+  applyFence,
+  applyFollow,
+  applyPromotion,
+  applyWrite,
+} from './serverRules.js'
 
 export type GroupStep =
   | { readonly type: 'write'; readonly server: number }
@@ -34,19 +42,19 @@
 const INDEXES = Array.from({ length: SERVERS }, (_, index) => index)
 const NO_HOLDERS = INDEXES.map(() => false)
 
-/** The states that one step leads to, by the step; none where the step is refused or does nothing. */
+/** The steps that are allowed and change the state, each with the state that it leads to. */
 export function successors(
   state: GroupState,
   bounds: GroupBounds,
   mutation: Mutation,
 ): readonly { readonly step: GroupStep; readonly next: GroupState }[] {
-  return allSteps(state, bounds).flatMap(step => {
-    const next = takeStep(state, step, mutation)
+  return candidateSteps(state, bounds).flatMap(step => {
+    const next = applyStep(state, step, mutation)
     return next === null ? [] : [{ step, next: observe(next, mutation) }]
   })
 }
 
-function allSteps(state: GroupState, bounds: GroupBounds): readonly GroupStep[] {
+function candidateSteps(state: GroupState, bounds: GroupBounds): readonly GroupStep[] {
   const steps: GroupStep[] = []
   const attempts = state.attempts.map((_, index) => index)
   for (const server of INDEXES) {
@@ -63,8 +71,8 @@
   return steps
 }
 
-/** The state after a step; null when the specification refuses it or it changes nothing. */
-export function takeStep(
+/** Returns the state after the step; null if the specification refuses it or it changes nothing. */
+export function applyStep(
   state: GroupState,
   step: GroupStep,
   mutation: Mutation = 'none',
@@ -73,7 +81,7 @@
     case 'write':
       return write(state, step.server)
     case 'replicate':
-      return replaceServer(state, step.server, replicated(state, step.server))
+      return replaceServer(state, step.server, replicateRecord(state, step.server))
     case 'fence':
       return fence(state, step.attempt, step.server, mutation)
     case 'choose':
@@ -83,20 +91,20 @@
     case 'follow':
       return follow(state, step.attempt, step.server)
     case 'read':
-      return { ...state, read: arrive(state) }
+      return { ...state, read: startRead(state) }
   }
 }
 
 function write(state: GroupState, index: number): GroupState | null {
   const id = state.writes.length + 1
-  const server = writtenAt(serverAt(state, index), id)
+  const server = applyWrite(serverAt(state, index), id)
   if (server === null) return null
   const written: WriteState = {
-    term: server.leads,
+    term: server.primaryTerm,
     offset: server.log.length,
     holders: INDEXES.map(each => each === index),
-    acknowledged: false,
-    rolledBackBy: 0,
+    isAcknowledged: false,
+    rolledBackByTerm: 0,
   }
   return {
     ...state,
@@ -105,11 +113,11 @@
   }
 }
 
-function replicated(state: GroupState, index: number): ServerState | null {
+function replicateRecord(state: GroupState, index: number): ServerState | null {
   const server = serverAt(state, index)
-  if (server.follows === 0 || server.fenced > server.follows) return null
-  const primary = state.servers.find(each => each.leads === server.follows)
-  return primary === undefined ? null : caughtUpBy(server, primary)
+  if (server.followedTerm === 0 || server.fencedTerm > server.followedTerm) return null
+  const primary = state.servers.find(each => each.primaryTerm === server.followedTerm)
+  return primary === undefined ? null : replicateNextRecord(server, primary)
 }
 
 function fence(
@@ -120,13 +128,13 @@
 ): GroupState | null {
   const attempt = attemptAt(state, attemptIndex)
   const server = serverAt(state, index)
-  const isDecided = attempt.chosen !== null && server.fenced === attempt.term
+  const isDecided = attempt.chosenServer !== null && server.fencedTerm === attempt.term
   const isRepeated = attempt.promises[index] !== null || isDecided
   if (isRepeated) return null
-  const fenced = mutation === 'noFence' ? server : fencedAt(server, attempt.term)
+  const fenced = mutation === 'noFence' ? server : applyFence(server, attempt.term)
   if (fenced === null) return null
-  // After the choice a fence still binds the server, and its answer tells nobody anything.
-  const promise = attempt.chosen === null ? positionOf(server, mutation) : null
+  // After the choice a fence still takes effect at the server, but its answer is no longer used.
+  const promise = attempt.chosenServer === null ? positionOf(server, mutation) : null
   const promises = replace(attempt.promises, index, promise)
   return {
     ...state,
@@ -143,44 +151,44 @@
 ): GroupState | null {
   const attempt = attemptAt(state, attemptIndex)
   const promise = attempt.promises[index] ?? null
-  if (attempt.chosen !== null || promise === null) return null
+  if (attempt.chosenServer !== null || promise === null) return null
   const promises = attempt.promises.filter(each => each !== null)
   if (promises.length < MAJORITY) return null
-  const isGreatest = promises.every(each => comparePlaces(promise, each) >= 0)
+  const isGreatest = promises.every(each => comparePositions(promise, each) >= 0)
   if (!isGreatest && mutation !== 'chooseAny') return null
-  const start = { term: attempt.term, startsAfter: promise, holders: NO_HOLDERS, inForce: false }
+  const start = { term: attempt.term, startsAfter: promise, holders: NO_HOLDERS, isInForce: false }
   const decided = { ...attempt, chosen: index, promises: INDEXES.map(() => null) }
   return {
     ...state,
     attempts: replace(state.attempts, attemptIndex, decided),
-    starts: [...state.starts, start],
+    termStarts: [...state.termStarts, start],
   }
 }
 
 function promote(state: GroupState, attemptIndex: number, mutation: Mutation): GroupState | null {
   const attempt = attemptAt(state, attemptIndex)
-  if (attempt.chosen === null || attempt.promoted) return null
-  const server = promotedAt(serverAt(state, attempt.chosen), attempt.term, mutation)
+  if (attempt.chosenServer === null || attempt.isPromoted) return null
+  const server = applyPromotion(serverAt(state, attempt.chosenServer), attempt.term, mutation)
   if (server === null) return null
   return {
     ...state,
-    servers: replace(state.servers, attempt.chosen, server),
-    attempts: replace(state.attempts, attemptIndex, { ...attempt, promoted: true }),
+    servers: replace(state.servers, attempt.chosenServer, server),
+    attempts: replace(state.attempts, attemptIndex, { ...attempt, isPromoted: true }),
   }
 }
 
 function follow(state: GroupState, attemptIndex: number, index: number): GroupState | null {
   const attempt = attemptAt(state, attemptIndex)
   const server = serverAt(state, index)
-  if (!attempt.promoted || attempt.chosen === index) return null
-  if (server.follows === attempt.term) return null
-  return replaceServer(state, index, followingAt(server, attempt.term))
+  if (!attempt.isPromoted || attempt.chosenServer === index) return null
+  if (server.followedTerm === attempt.term) return null
+  return replaceServer(state, index, applyFollow(server, attempt.term))
 }
 
-function arrive(state: GroupState): ReadState {
-  const wanted = state.writes.flatMap((each, index) => (each.acknowledged ? [index + 1] : []))
+function startRead(state: GroupState): ReadState {
+  const wanted = state.writes.flatMap((each, index) => (each.isAcknowledged ? [index + 1] : []))
   const least = state.servers.map(server => positionOf(server, 'none'))
-  return { wanted, least, leastOfPrimaries: null }
+  return { requiredWrites: wanted, lowestReported: least, lowestFromPrimaries: null }
 }
 
 function replaceServer(
@@ -196,12 +204,12 @@
 
 function serverAt(state: GroupState, index: number): ServerState {
   const server = state.servers[index]
-  if (server === undefined) throw new Error(`no server ${index}`)
+  if (server === undefined) throw new Error(`server index ${index} is out of range`)
   return server
 }
 
 function attemptAt(state: GroupState, index: number): AttemptState {
   const attempt = state.attempts[index]
-  if (attempt === undefined) throw new Error(`no attempt ${index}`)
+  if (attempt === undefined) throw new Error(`attempt index ${index} is out of range`)
   return attempt
 }
--- a/packages/model/src/groupState.ts
+++ b/packages/model/src/groupState.ts
@@ -1,9 +1,9 @@
-/** The states of the group specification: a database group, its writers, readers and coordinators. */
+/** The state of the group specification: backend servers, failover attempts, writes, term starts and a read. */
 
 export const SERVERS = 3
 export const MAJORITY = 2
 
-/** A log record: the term that wrote it, and which write it is; 0 opens the term. */
+/** A log record: the term that wrote it and the number of the write; 0 marks the start of the term. */
 export interface Entry {
   readonly term: number
   readonly write: number
@@ -16,66 +16,66 @@
 
 export interface ServerState {
   readonly log: readonly Entry[]
-  /** It refuses lower terms. */
-  readonly fenced: number
-  /** The term in which it believes itself primary; 0 for a replica. */
-  readonly leads: number
-  /** The term whose primary it follows; 0 for none. */
-  readonly follows: number
+  /** Commands of lower terms are refused. */
+  readonly fencedTerm: number
+  /** The term in which the server considers itself primary; 0 for a replica. */
+  readonly primaryTerm: number
+  /** The term of the primary that it replicates from; 0 for none. */
+  readonly followedTerm: number
 }
 
 export interface AttemptState {
   readonly term: number
-  /** What each fenced server answered; null before it did. */
+  /** The position that each server reported when it was fenced; null before its answer. */
   readonly promises: readonly (Position | null)[]
-  readonly chosen: number | null
-  readonly promoted: boolean
+  readonly chosenServer: number | null
+  readonly isPromoted: boolean
 }
 
 export interface WriteState {
   readonly term: number
   readonly offset: number
-  /** Servers that were seen to hold it, by index. */
+  /** Whether each server was observed to hold the write. */
   readonly holders: readonly boolean[]
-  readonly acknowledged: boolean
-  /** The term whose start left it out, once its caller was told that it did not run; else 0. */
-  readonly rolledBackBy: number
+  readonly isAcknowledged: boolean
+  /** The term whose start excludes the write, once its caller received `not run`; otherwise 0. */
+  readonly rolledBackByTerm: number
 }
 
-/** A recorded start, and which servers were seen to have ended their log in the term. */
-export interface StartState {
+/** A recorded term start, and which servers were observed with a log that ends in the term. */
+export interface TermStartState {
   readonly term: number
   readonly startsAfter: Position
   readonly holders: readonly boolean[]
-  /** A majority was seen so; no later primary can be without the start. */
-  readonly inForce: boolean
+  /** A majority was observed with such a log, so every later primary has the start. */
+  readonly isInForce: boolean
 }
 
-/** A read that has arrived: what it must see, and the least each server answered since. */
+/** A pending read: the writes it must see, and the lowest position each server has reported since it arrived. */
 export interface ReadState {
-  readonly wanted: readonly number[]
-  readonly least: readonly Position[]
-  /** The least word since then of any server that believed itself primary; null without one. */
-  readonly leastOfPrimaries: Position | null
+  readonly requiredWrites: readonly number[]
+  readonly lowestReported: readonly Position[]
+  /** The lowest position reported since then by a server that considered itself primary; null if none did. */
+  readonly lowestFromPrimaries: Position | null
 }
 
 export interface GroupState {
   readonly servers: readonly ServerState[]
   readonly attempts: readonly AttemptState[]
-  /** By write, from 1 on. */
+  /** Write number n is at index n - 1. */
   readonly writes: readonly WriteState[]
-  readonly starts: readonly StartState[]
+  readonly termStarts: readonly TermStartState[]
   readonly read: ReadState | null
 }
 
 export interface GroupBounds {
   readonly attempts: number
   readonly writes: number
-  /** Whether one read arrives at any moment. */
+  /** Whether one read may arrive, at any point. */
   readonly reads: boolean
 }
 
-/** What a broken variant leaves out or does wrong. */
+/** The guard that a faulty variant of the specification omits, or the mistake that it makes. */
 export type Mutation =
   | 'none'
   | 'noFence'
@@ -86,50 +86,55 @@
   | 'sharedTerm'
   | 'chooseAny'
   | 'promoteUnfenced'
-  | 'primaryWordAsBound'
+  | 'primaryReportAsBound'
   | 'rollBackBeforeMajority'
   | 'rollBackByAnyLaterTerm'
 
-export const comparePlaces = (left: Position, right: Position): number =>
+export const comparePositions = (left: Position, right: Position): number =>
   left.term === right.term ? left.offset - right.offset : left.term - right.term
 
 export function positionOf(server: ServerState, mutation: Mutation): Position {
   const written = server.log.at(-1)?.term ?? 0
-  const term = mutation === 'noTermRecord' ? Math.max(written, server.follows) : written
+  const term = mutation === 'noTermRecord' ? Math.max(written, server.followedTerm) : written
   return { term, offset: server.log.length }
 }
 
 export function initialState(bounds: GroupBounds, mutation: Mutation): GroupState {
   const log = [{ term: 1, write: 0 }]
   const servers = Array.from({ length: SERVERS }, (_, index) => {
-    return { log, fenced: 1, leads: index === 0 ? 1 : 0, follows: index === 0 ? 0 : 1 }
+    return {
+      log,
+      fencedTerm: 1,
+      primaryTerm: index === 0 ? 1 : 0,
+      followedTerm: index === 0 ? 0 : 1,
+    }
   })
   const attempts = Array.from({ length: bounds.attempts }, (_, index) => ({
     term: mutation === 'sharedTerm' ? 2 : index + 2,
     promises: Array.from({ length: SERVERS }, () => null),
-    chosen: null,
-    promoted: false,
+    chosenServer: null,
+    isPromoted: false,
   }))
-  return { servers, attempts, writes: [], starts: [], read: null }
+  return { servers, attempts, writes: [], termStarts: [], read: null }
 }
 
 const keys = new WeakMap<GroupState, string>()
 
-/** A short text that two states share only when they are equal but for the names of the replicas. */
-export function keyOf(state: GroupState): string {
+/** A short key that two states share only if they are equal up to swapping servers 1 and 2. */
+export function canonicalKey(state: GroupState): string {
   const known = keys.get(state)
   if (known !== undefined) return known
-  const [straight, swapped] = [describe(state, [0, 1, 2]), describe(state, [0, 2, 1])]
+  const [straight, swapped] = [encodeState(state, [0, 1, 2]), encodeState(state, [0, 2, 1])]
   const key = straight < swapped ? straight : swapped
   keys.set(state, key)
   return key
 }
 
-/** `order` says which server stands at each place: servers 1 and 2 begin alike. */
-function describe(state: GroupState, order: readonly number[]): string {
+/** Lists the servers in the given `order`; servers 1 and 2 have the same initial state and can be swapped. */
+function encodeState(state: GroupState, order: readonly number[]): string {
   const arrange = <Item>(items: readonly Item[]): readonly Item[] =>
     order.map(index => items[index] as Item)
-  const place = (position: Position | null): string =>
+  const encodePosition = (position: Position | null): string =>
     position === null ? '-' : `${position.term}.${position.offset}`
   const flags = (holders: readonly boolean[]): string =>
     arrange(holders)
@@ -137,24 +142,24 @@
       .join('')
   const servers = arrange(state.servers).map(server => {
     const log = server.log.map(entry => `${entry.term}${entry.write}`).join('')
-    return `${log}/${server.fenced}${server.leads}${server.follows}`
+    return `${log}/${server.fencedTerm}${server.primaryTerm}${server.followedTerm}`
   })
   const attempts = state.attempts.map(attempt => {
-    const promises = arrange(attempt.promises).map(place).join(',')
-    return `${promises}/${attempt.chosen === null ? '-' : order.indexOf(attempt.chosen)}${attempt.promoted ? 'p' : ''}`
+    const promises = arrange(attempt.promises).map(encodePosition).join(',')
+    return `${promises}/${attempt.chosenServer === null ? '-' : order.indexOf(attempt.chosenServer)}${attempt.isPromoted ? 'p' : ''}`
   })
   const writes = state.writes.map(write => {
-    const done = `${write.acknowledged ? 'a' : ''}${write.rolledBackBy}`
+    const done = `${write.isAcknowledged ? 'a' : ''}${write.rolledBackByTerm}`
     return `${write.term}.${write.offset}${flags(write.holders)}${done}`
   })
-  const starts = state.starts.map(
+  const starts = state.termStarts.map(
     start =>
-      `${start.term}@${place(start.startsAfter)}${flags(start.holders)}${start.inForce ? 'f' : ''}`,
+      `${start.term}@${encodePosition(start.startsAfter)}${flags(start.holders)}${start.isInForce ? 'f' : ''}`,
   )
   const { read } = state
   const reading =
     read === null
       ? ''
-      : `${read.wanted.join('')}r${arrange(read.least).map(place).join(',')}${place(read.leastOfPrimaries)}`
+      : `${read.requiredWrites.join('')}r${arrange(read.lowestReported).map(encodePosition).join(',')}${encodePosition(read.lowestFromPrimaries)}`
   return [servers, attempts, writes, starts].map(part => part.join(' ')).join('|') + reading
 }
--- a/packages/model/src/main.ts
+++ b/packages/model/src/main.ts
@@ -1,32 +1,32 @@
-/** Explores the specifications within bounds given on the command line, and prints what it found. */
+/** Explores the specifications within the bounds given on the command line and prints the results. */
 import { parseArgs } from 'node:util'
 
 import { SeededRandom } from '@nutmegcourse/shared'
 
 import { exploreConfiguration } from './configurationExploration.js'
-import { CoreDriver } from './coreDriver.js'
+import { FailoverSimulation } from './failoverSimulation.js'
 import { describeExploration } from './explore.js'
 import { exploreGroup } from './groupExploration.js'
 
 const USAGE =
   'usage: main.js [--attempts 2] [--writes 1] [--reads] [--changes 2] [--hosts 2] ' +
   '[--schedules 100] [--seed 1]'
-const STEPS_A_SCHEDULE = 2_000
-/** The driver reads a choice as a kind of step and a pick among those possible. */
-const CHOICES = 65_536
+const STEPS_PER_SCHEDULE = 2_000
+/** A choice encodes both the kind of step and which of the possible steps of that kind is taken. */
+const CHOICE_COUNT = 65_536
 
-/** Runs the shipped machine through random schedules, and tells the first that breaks. */
+/** Runs the production FailoverCore through random schedules; reports the first violation. */
 function runSchedules(schedules: number, seed: number): string {
   let promotions = 0
   for (let index = 0; index < schedules; index += 1) {
-    const driver = new CoreDriver(seed + index)
+    const simulation = new FailoverSimulation(seed + index)
     const random = new SeededRandom(seed + index)
-    for (let step = 0; step < STEPS_A_SCHEDULE; step += 1) {
-      driver.step(Math.floor(random.next() * CHOICES))
-      const [violation] = driver.violations
+    for (let step = 0; step < STEPS_PER_SCHEDULE; step += 1) {
+      simulation.step(Math.floor(random.next() * CHOICE_COUNT))
+      const [violation] = simulation.violations
       if (violation !== undefined) return `schedule ${seed + index}, step ${step}: ${violation}`
     }
-    promotions += driver.promotions
+    promotions += simulation.promotions
   }
   return `schedules ${schedules} from seed ${seed}: ${promotions} promotions, no violation`
 }
--- a/packages/model/src/serverRules.ts
+++ b/packages/model/src/serverRules.ts
@@ -1,43 +1,45 @@
-/** A backend server's own rules: what it answers to a fence, a promotion, a follow and a write. */
+/** The rules of a backend server: how it answers a fence, a promotion, a follow and a write. */
 import type { Entry, Mutation, ServerState } from './groupState.js'
 
-/** A backend server's answer to a fence: it refuses lower terms from now on. Null: refused. */
-export const fencedAt = (server: ServerState, term: number): ServerState | null =>
-  server.fenced > term ? null : { ...server, fenced: term }
+/** Fences the server, which refuses lower terms from then on. Returns null if it refuses the fence. */
+export const applyFence = (server: ServerState, term: number): ServerState | null =>
+  server.fencedTerm > term ? null : { ...server, fencedTerm: term }
 
-/** A backend server's answer to a promotion: only at the term of its fence. Null: refused. */
-export function promotedAt(
+/** Promotes the server, at the term of its fence only. Returns null if it refuses. */
+export function applyPromotion(
   server: ServerState,
   term: number,
   mutation: Mutation = 'none',
 ): ServerState | null {
-  const isPromised = server.fenced === term
-  if (!isPromised && mutation !== 'noFence' && mutation !== 'promoteUnfenced') return null
+  const isFencedAtTerm = server.fencedTerm === term
+  if (!isFencedAtTerm && mutation !== 'noFence' && mutation !== 'promoteUnfenced') return null
   const opening = mutation === 'noTermRecord' ? [] : [{ term, write: 0 }]
-  return { ...server, leads: term, follows: 0, log: [...server.log, ...opening] }
+  return { ...server, primaryTerm: term, followedTerm: 0, log: [...server.log, ...opening] }
 }
 
-/** A backend server's answer to a follow. Null: refused. */
-export const followingAt = (server: ServerState, term: number): ServerState | null =>
-  server.fenced > term ? null : { ...server, fenced: term, leads: 0, follows: term }
+/** Makes the server a replica of the term's primary. Returns null if it is fenced at a later term. */
+export const applyFollow = (server: ServerState, term: number): ServerState | null =>
+  server.fencedTerm > term
+    ? null
+    : { ...server, fencedTerm: term, primaryTerm: 0, followedTerm: term }
 
-/** A primary's answer to a write. Null: refused, as it is no primary or fenced above its term. */
-export const writtenAt = (server: ServerState, write: number): ServerState | null =>
-  server.leads === 0 || server.fenced > server.leads
+/** Appends a write. Returns null if the server is not a primary or is fenced above its term. */
+export const applyWrite = (server: ServerState, write: number): ServerState | null =>
+  server.primaryTerm === 0 || server.fencedTerm > server.primaryTerm
     ? null
-    : { ...server, log: [...server.log, { term: server.leads, write }] }
+    : { ...server, log: [...server.log, { term: server.primaryTerm, write }] }
 
-/** One record further along its primary's log, or back to where the two logs part. */
-export function caughtUpBy(server: ServerState, primary: ServerState): ServerState | null {
-  const shared = sharedLength(server.log, primary.log)
+/** Appends the next record of the primary's log, or truncates the log to the prefix they share if they differ. */
+export function replicateNextRecord(server: ServerState, primary: ServerState): ServerState | null {
+  const shared = commonPrefixLength(server.log, primary.log)
   if (shared < server.log.length) return { ...server, log: server.log.slice(0, shared) }
   const next = primary.log[shared]
   return next === undefined ? null : { ...server, log: [...server.log, next] }
 }
 
-export function sharedLength(left: readonly Entry[], right: readonly Entry[]): number {
-  const parts = left.findIndex(
+export function commonPrefixLength(left: readonly Entry[], right: readonly Entry[]): number {
+  const firstDifference = left.findIndex(
     (entry, index) => entry.term !== right[index]?.term || entry.write !== right[index].write,
   )
-  return parts === -1 ? left.length : parts
+  return firstDifference === -1 ? left.length : firstDifference
 }
