--- a/packages/model/src/configurationSpecification.ts
+++ b/packages/model/src/configurationSpecification.ts
@@ -19,7 +19,7 @@
   | { readonly kind: 'unanswered'; readonly base: Document }
   | { readonly kind: 'accepted'; readonly version: number }
   | { readonly kind: 'refused' }
-  /** The store was past the version the swap would have written when it was read back, so the outcome is undecidable. */
+  /** The store already held a later version when it was read back, so the outcome is undecidable. */
   | { readonly kind: 'unknown' }
 
 export interface ConfigurationState {
@@ -170,18 +170,18 @@
   if (!isNewer && mutation !== 'lastReceivedWins') return null
   if (known?.version === received.version && known.change === received.change) return null
   const hosts = state.hosts.map((each, index) => (index === host ? received : each))
-  const actedOn = state.newestApplied.map((version, index) =>
+  const newestApplied = state.newestApplied.map((version, index) =>
     index === host ? Math.max(version, received.version) : version,
   )
-  return { ...state, hosts, newestApplied: actedOn }
+  return { ...state, hosts, newestApplied }
 }
 
 /** A new incarnation has no document and need not match what the previous one applied. */
 function restart(state: ConfigurationState, host: number): ConfigurationState | null {
   if (state.hosts[host] === null) return null
   const hosts = state.hosts.map((each, index) => (index === host ? null : each))
-  const actedOn = state.newestApplied.map((version, index) => (index === host ? 0 : version))
-  return { ...state, hosts, newestApplied: actedOn }
+  const newestApplied = state.newestApplied.map((version, index) => (index === host ? 0 : version))
+  return { ...state, hosts, newestApplied }
 }
 
 const withChange = (
--- a/packages/model/src/failoverSimulation.ts
+++ b/packages/model/src/failoverSimulation.ts
@@ -62,7 +62,7 @@
   readonly #cores: FailoverCore[]
   readonly #watchers: readonly Watcher[]
   readonly #makeRandom: (incarnation: number) => RandomSource
-  readonly #listed: readonly ListedBackendServer[]
+  readonly #serverEntries: readonly ListedBackendServer[]
   #inFlight: Message[] = []
   #stored: { record: GroupRecord | null; revision: number }
   #now = 0
@@ -80,11 +80,13 @@
       zone: availabilityZoneId(`zone-${index}`),
       region: regionId('kolkata'),
     }))
-    this.#listed = SERVER_NAMES.map((name, index) => createServerEntry(name, `zone-${index}`))
+    this.#serverEntries = SERVER_NAMES.map((name, index) =>
+      createServerEntry(name, `zone-${index}`),
+    )
     this.#stored = { record: initialRecord(), revision: 1 }
     this.#cores = this.#watchers.map((_, host) => this.#makeCore(host))
     this.#watchers.forEach((_, host) => {
-      this.#sendFleet(host)
+      this.#sendMembership(host)
     })
   }
 
@@ -114,16 +116,16 @@
     this.#incarnations += 1
     const incarnation = this.#incarnations
     let attempts = 0
-    const self = this.#watchers[host] ?? fail(`host index ${host} is out of range`)
+    const self = this.#watchers[host] ?? fail('host index is out of range')
     return new FailoverCore({ database: DATABASE, self }, this.#makeRandom(incarnation), () => {
       attempts += 1
       return attemptId(`${incarnation}-${attempts}`)
     })
   }
 
-  #sendFleet(host: number): void {
+  #sendMembership(host: number): void {
     this.#send(host, { kind: 'watchers', watchers: this.#watchers })
-    this.#send(host, { kind: 'backendServers', servers: this.#listed })
+    this.#send(host, { kind: 'backendServers', servers: this.#serverEntries })
   }
 
   #send(host: number, message: FailoverMessage): void {
@@ -265,7 +267,7 @@
       message => message.kind !== 'toHost' || message.host !== host,
     )
     this.#cores[host] = this.#makeCore(host)
-    this.#sendFleet(host)
+    this.#sendMembership(host)
   }
 
   #removeInFlight(pick: number): Message | null {
--- a/packages/model/src/groupConformanceChecker.ts
+++ b/packages/model/src/groupConformanceChecker.ts
@@ -110,7 +110,7 @@
     }
   }
 
-  /** Records a fence promise when the coordinator receives the answer, as the specification counts it from then. */
+  /** Records a fence promise when its coordinator receives the answer; it does not count earlier. */
   recordPromise({ attempt, server }: FencePromise, message: FailoverMessage): void {
     const known = this.#state.attempts[attempt]
     if (message.kind !== 'controlAnswered' || known?.chosenServer !== null) return
@@ -143,8 +143,8 @@
     }
   }
 
-  attemptIndexOf(wanted: number): number {
-    return this.#state.attempts.findIndex(attempt => attempt.term === wanted)
+  attemptIndexOf(attemptTerm: number): number {
+    return this.#state.attempts.findIndex(attempt => attempt.term === attemptTerm)
   }
 
   #applyRequiredStep(step: GroupStep): void {
--- a/packages/model/src/groupInvariants.ts
+++ b/packages/model/src/groupInvariants.ts
@@ -92,7 +92,7 @@
   )
 }
 
-/** For each minimal majority, the highest of its servers' lowest reported positions; and the lowest of these. */
+/** The highest of the lowest reported positions of each minimal majority, and the lowest of these. */
 function readBounds(read: ReadState, mutation: Mutation): readonly Position[] {
   if (mutation === 'primaryReportAsBound') {
     return read.lowestFromPrimaries === null ? [] : [read.lowestFromPrimaries]
--- a/packages/model/src/groupObservers.ts
+++ b/packages/model/src/groupObservers.ts
@@ -24,16 +24,16 @@
 
 const NO_HOLDERS = Array.from({ length: SERVERS }, () => false)
 
-/** Updates what proxies have observed and reported: write holders, acknowledgements, rollbacks, read positions. */
+/** Updates what proxies have observed: write holders, acknowledgements, rollbacks and read positions. */
 export function observe(state: GroupState, mutation: Mutation): GroupState {
   const positions = state.servers.map(server => positionOf(server, mutation))
   const reports = state.servers.map((server, index) => {
     return { position: reportedPosition(positions, index), fencedTerm: server.fencedTerm }
   })
-  const starts = state.termStarts.map(start => observeTermStart(start, reports, mutation))
-  const writes = state.writes.map(each => observeWrite(each, reports, starts, mutation))
+  const termStarts = state.termStarts.map(start => observeTermStart(start, reports, mutation))
+  const writes = state.writes.map(each => observeWrite(each, reports, termStarts, mutation))
   const { read } = state
-  return { ...state, termStarts: starts, writes, read: read && observeRead(read, state, positions) }
+  return { ...state, termStarts, writes, read: read && observeRead(read, state, positions) }
 }
 
 function observeTermStart(
@@ -42,36 +42,36 @@
   mutation: Mutation,
 ): TermStartState {
   if (start.isInForce) return start
-  const isIn = ({ position, fencedTerm: fenced }: Report): boolean =>
+  const isIn = ({ position, fencedTerm }: Report): boolean =>
     mutation === 'rollBackByAnyLaterTerm'
       ? position.term >= start.term
-      : position.term === start.term && hasNoLaterFence(fenced, start.term, mutation)
+      : position.term === start.term && hasNoLaterFence(fencedTerm, start.term, mutation)
   const holders = start.holders.map((held, index) => held || isIn(reportAt(reports, index)))
-  const inForce = count(holders) >= MAJORITY || mutation === 'rollBackBeforeMajority'
-  return inForce ? { ...start, holders: NO_HOLDERS, isInForce: inForce } : { ...start, holders }
+  const isInForce = count(holders) >= MAJORITY || mutation === 'rollBackBeforeMajority'
+  return isInForce ? { ...start, holders: NO_HOLDERS, isInForce } : { ...start, holders }
 }
 
 function observeWrite(
   write: WriteState,
   reports: readonly Report[],
-  starts: readonly TermStartState[],
+  termStarts: readonly TermStartState[],
   mutation: Mutation,
 ): WriteState {
   if (write.isAcknowledged) return write
-  const holds = ({ position, fencedTerm: fenced }: Report): boolean =>
+  const holds = ({ position, fencedTerm }: Report): boolean =>
     mutation === 'noTermCheck'
       ? comparePositions(position, write) >= 0
       : position.term === write.term &&
         position.offset >= write.offset &&
-        hasNoLaterFence(fenced, write.term, mutation)
+        hasNoLaterFence(fencedTerm, write.term, mutation)
   const holders = write.holders.map((held, index) => held || holds(reportAt(reports, index)))
-  const wanted = mutation === 'acknowledgeBeforeMajority' ? 1 : MAJORITY
-  const acknowledged = count(holders) >= wanted
-  if (acknowledged) return { ...write, holders: NO_HOLDERS, isAcknowledged: acknowledged }
-  const excluding = starts.find(start => start.isInForce && excludes(start, write))
-  const rolledBackBy =
+  const requiredHolders = mutation === 'acknowledgeBeforeMajority' ? 1 : MAJORITY
+  const isAcknowledged = count(holders) >= requiredHolders
+  if (isAcknowledged) return { ...write, holders: NO_HOLDERS, isAcknowledged }
+  const excluding = termStarts.find(start => start.isInForce && excludes(start, write))
+  const rolledBackByTerm =
     write.rolledBackByTerm === 0 ? (excluding?.term ?? 0) : write.rolledBackByTerm
-  return { ...write, holders, rolledBackByTerm: rolledBackBy }
+  return { ...write, holders, rolledBackByTerm }
 }
 
 /**
@@ -79,8 +79,8 @@
  * does not count towards this term's majority: a primary of a term in between, which lacks the
  * record, can still be chosen over it.
  */
-const hasNoLaterFence = (fenced: number, term: number, mutation: Mutation): boolean =>
-  fenced <= term || mutation === 'noFenceCheck'
+const hasNoLaterFence = (fencedTerm: number, term: number, mutation: Mutation): boolean =>
+  fencedTerm <= term || mutation === 'noFenceCheck'
 
 /** Decides by the recorded start alone, without checking the terms between the write's and this one. */
 const excludes = (start: TermStartState, write: WriteState): boolean =>
@@ -93,18 +93,18 @@
   state: GroupState,
   positions: readonly Position[],
 ): ReadState {
-  const least = read.lowestReported.map((known, index) =>
+  const lowestReported = read.lowestReported.map((known, index) =>
     lesser(known, reportedPosition(positions, index)),
   )
   const primaryPositions = state.servers.flatMap((server, index) =>
     server.primaryTerm === 0 ? [] : [reportedPosition(positions, index)],
   )
   const known = read.lowestFromPrimaries
-  const leastOfPrimaries = [
+  const lowestFromPrimaries = [
     ...(known === null ? [] : [known]),
     ...primaryPositions,
   ].reduce<Position | null>((lowest, each) => (lowest === null ? each : lesser(lowest, each)), null)
-  return { ...read, lowestReported: least, lowestFromPrimaries: leastOfPrimaries }
+  return { ...read, lowestReported, lowestFromPrimaries }
 }
 
 const lesser = (left: Position, right: Position): Position =>
--- a/packages/model/src/groupSpecification.ts
+++ b/packages/model/src/groupSpecification.ts
@@ -131,14 +131,14 @@
   const isDecided = attempt.chosenServer !== null && server.fencedTerm === attempt.term
   const isRepeated = attempt.promises[index] !== null || isDecided
   if (isRepeated) return null
-  const fenced = mutation === 'noFence' ? server : applyFence(server, attempt.term)
-  if (fenced === null) return null
+  const fencedServer = mutation === 'noFence' ? server : applyFence(server, attempt.term)
+  if (fencedServer === null) return null
   // After the choice a fence still takes effect at the server, but its answer is no longer used.
   const promise = attempt.chosenServer === null ? positionOf(server, mutation) : null
   const promises = replace(attempt.promises, index, promise)
   return {
     ...state,
-    servers: replace(state.servers, index, fenced),
+    servers: replace(state.servers, index, fencedServer),
     attempts: replace(state.attempts, attemptIndex, { ...attempt, promises }),
   }
 }
@@ -157,7 +157,7 @@
   const isGreatest = promises.every(each => comparePositions(promise, each) >= 0)
   if (!isGreatest && mutation !== 'chooseAny') return null
   const start = { term: attempt.term, startsAfter: promise, holders: NO_HOLDERS, isInForce: false }
-  const decided = { ...attempt, chosen: index, promises: INDEXES.map(() => null) }
+  const decided = { ...attempt, chosenServer: index, promises: INDEXES.map(() => null) }
   return {
     ...state,
     attempts: replace(state.attempts, attemptIndex, decided),
@@ -186,9 +186,11 @@
 }
 
 function startRead(state: GroupState): ReadState {
-  const wanted = state.writes.flatMap((each, index) => (each.isAcknowledged ? [index + 1] : []))
-  const least = state.servers.map(server => positionOf(server, 'none'))
-  return { requiredWrites: wanted, lowestReported: least, lowestFromPrimaries: null }
+  const requiredWrites = state.writes.flatMap((each, index) =>
+    each.isAcknowledged ? [index + 1] : [],
+  )
+  const lowestReported = state.servers.map(server => positionOf(server, 'none'))
+  return { requiredWrites, lowestReported, lowestFromPrimaries: null }
 }
 
 function replaceServer(
--- a/packages/model/src/serverRules.ts
+++ b/packages/model/src/serverRules.ts
@@ -29,7 +29,7 @@
     ? null
     : { ...server, log: [...server.log, { term: server.primaryTerm, write }] }
 
-/** Appends the next record of the primary's log, or truncates the log to the prefix they share if they differ. */
+/** Appends the primary's next record, or first truncates the log to the prefix that both share. */
 export function replicateNextRecord(server: ServerState, primary: ServerState): ServerState | null {
   const shared = commonPrefixLength(server.log, primary.log)
   if (shared < server.log.length) return { ...server, log: server.log.slice(0, shared) }
--- /dev/null
+++ b/packages/soak/src/consistencyChecker.ts
@@ -0,0 +1,159 @@
+/**
+ * Checks the promises to callers against the answers that they received and the final logs of the
+ * backend servers. Each finding is one sentence; a run without findings kept its promises.
+ */
+import { isAtOrPast, laterPosition, logPosition, type LogPosition } from '@nutmegcourse/shared'
+import type { MemoryGroup } from '@nutmegcourse/stand-ins'
+import type { UnsuccessfulStatement } from './soakCaller.js'
+
+export type ReadRule =
+  | { readonly kind: 'latest' }
+  | { readonly kind: 'bounded'; readonly ageMilliseconds: number }
+  | { readonly kind: 'own'; readonly ageMilliseconds: number }
+
+interface AcknowledgedPosition {
+  readonly at: number
+  /** The newest position acknowledged up to this time. */
+  readonly newestPosition: LogPosition
+}
+
+const LOG_START = logPosition(1, 0)
+
+export class ConsistencyChecker {
+  readonly findings: string[] = []
+  readonly #groups: ReadonlyMap<string, MemoryGroup>
+  readonly #acknowledged = new Map<string, AcknowledgedPosition[]>()
+  readonly #acknowledgedIds = new Map<string, string>()
+  readonly #notAppliedIds = new Map<string, string>()
+  readonly #sentIds = new Set<string>()
+  readonly counts = { acknowledged: 0, reads: 0, notRun: 0, unknown: 0, closed: 0 }
+
+  constructor(groups: readonly MemoryGroup[]) {
+    this.#groups = new Map(groups.map(group => [group.service, group]))
+  }
+
+  recordSent(id: string): void {
+    this.#sentIds.add(id)
+  }
+
+  /** Records that a caller received the acknowledgement of these writes. Returns their position. */
+  recordAcknowledged(
+    service: string,
+    ids: readonly string[],
+    signature: string,
+  ): LogPosition | null {
+    const expected = `commit-${ids.join('+')}`
+    if (signature !== expected)
+      this.#report(`answer ${signature} was returned for the commit of ${ids.join(', ')}`)
+    for (const id of ids) this.#acknowledgedIds.set(id, service)
+    this.counts.acknowledged += ids.length
+    const [first] = ids
+    const position = first === undefined ? null : this.#group(service).positionOf(first)
+    if (position === null) {
+      this.#report(`${ids.join(', ')} acknowledged, but no server executed it`)
+      return null
+    }
+    const known = this.#acknowledged.get(service) ?? []
+    const newest = laterPosition(known.at(-1)?.newestPosition ?? LOG_START, position)
+    known.push({ at: performance.now(), newestPosition: newest })
+    this.#acknowledged.set(service, known)
+    return position
+  }
+
+  /** Records writes that must not be in effect: refused, rolled back or never committed. */
+  recordNotApplied(service: string, ids: readonly string[]): void {
+    for (const id of ids) this.#notAppliedIds.set(id, service)
+  }
+
+  /** Returns the position that a read sent now must have reached. */
+  requiredPosition(service: string, rule: ReadRule, own: LogPosition | null): LogPosition {
+    const now = performance.now()
+    const known = this.#acknowledged.get(service) ?? []
+    if (rule.kind === 'latest') return known.at(-1)?.newestPosition ?? LOG_START
+    const last =
+      known.findLast(({ at }) => at <= now - rule.ageMilliseconds)?.newestPosition ?? LOG_START
+    return rule.kind === 'own' && own !== null ? laterPosition(last, own) : last
+  }
+
+  /** Checks a read; its row is the id of the last write in the log that answered it. */
+  checkRead(
+    service: string,
+    id: string,
+    answer: { readonly signature: string; readonly rows: readonly string[] },
+    required: LogPosition,
+  ): void {
+    this.counts.reads += 1
+    if (answer.signature !== `read-${id}`)
+      this.#report(`answer ${answer.signature} was returned for read ${id}`)
+    const [row = 'nothing'] = answer.rows
+    const found = row === 'nothing' ? LOG_START : this.#group(service).positionOf(row)
+    if (found !== null && isAtOrPast(found, required)) return
+    const [at, need] = [found, required].map(each =>
+      each === null ? 'an unknown position' : `${String(each.term)}.${String(each.offset)}`,
+    )
+    this.#report(`read ${id} saw ${String(at)}, but required at least ${String(need)}`)
+  }
+
+  /**
+   * Checks an unsuccessful statement while only planned operations were in progress. A planned stop
+   * or a new configuration must not interrupt a statement, roll back a transaction or leave its
+   * outcome unknown. A refusal without effect that can be retried at once is allowed.
+   */
+  checkDuringPlannedOperation(
+    { host, id, owedMilliseconds, answer }: UnsuccessfulStatement,
+    isStopping: boolean,
+  ): void {
+    const waited = `unanswered for ${owedMilliseconds.toFixed(1)} ms`
+    switch (answer.kind) {
+      case 'closed':
+        if (isStopping)
+          this.#report(`${host} closed the connection of ${id} during a planned stop, ${waited}`)
+        return
+      case 'unknown':
+        this.#report(
+          `${host} reported an unknown outcome of ${id}, "${answer.detail}", during planned operations, ${waited}`,
+        )
+        return
+      case 'notRun':
+        if (!answer.isRolledBack) return
+        this.#report(
+          `${host} rolled ${id} back during planned operations: "${answer.detail}", ${waited}`,
+        )
+    }
+  }
+
+  addFinding(finding: string): void {
+    this.#report(finding)
+  }
+
+  /** Checks the final logs of the servers and returns all findings. */
+  finish(): readonly string[] {
+    const held = new Set<string>()
+    for (const group of this.#groups.values()) {
+      this.findings.push(...group.violations)
+      for (const id of group.doubled) this.#report(`write ${id} was applied twice`)
+      for (const { id } of group.leader?.log ?? []) held.add(id)
+      if (group.leader === null)
+        this.#report(`${group.service} has no primary at the end of the run`)
+    }
+    for (const id of this.#acknowledgedIds.keys()) {
+      if (!held.has(id)) this.#report(`acknowledged write ${id} is lost`)
+    }
+    for (const id of this.#notAppliedIds.keys()) {
+      if (held.has(id))
+        this.#report(`write ${id} was applied, although it was refused or never committed`)
+    }
+    for (const id of held) if (!this.#sentIds.has(id)) this.#report(`no caller sent write ${id}`)
+    return this.findings
+  }
+
+  #group(service: string): MemoryGroup {
+    const group = this.#groups.get(service)
+    if (group === undefined) throw new Error(`unknown service ${service}`)
+    return group
+  }
+
+  #report(finding: string): void {
+    this.findings.push(finding)
+  }
+}
--- a/packages/soak/src/faultInjector.ts
+++ b/packages/soak/src/faultInjector.ts
@@ -1,38 +1,38 @@
-/** Carries a plan out: begins each fault at its time, ends it after its span. Faults overlap. */
+/** Executes a fault plan: starts each fault at its time and ends it after its duration. Faults may overlap. */
 import { setTimeout as delay } from 'node:timers/promises'
 import { backendServerId } from '@nutmegcourse/shared'
 import type { CommandFault, MemoryServer } from '@nutmegcourse/stand-ins'
 import type { RandomSource } from '@nutmegcourse/shared'
 import type { Fault, PlannedFault } from './faultPlan.js'
 import { PLANNED_KINDS, STORE } from './faultPlan.js'
-import type { SoakWorld } from './soakWorld.js'
+import type { SoakFleet } from './soakFleet.js'
 
-/** The part of a server's answers that a fault loses. */
-const LOST_PART = 0.15
+/** The share of a server's answers that an `answersLost` fault drops. */
+const LOST_ANSWER_SHARE = 0.15
 
-/** From the first signal to stop to the second: callers are being sent away then. */
+/** The delay between the two stop signals; the host is closing its sessions at that time. */
 const SECOND_SIGNAL_MILLISECONDS = 400
 
 const ROLE_CHECK_MILLISECONDS = 20
 
 export class FaultInjector {
-  readonly #world: SoakWorld
+  readonly #fleet: SoakFleet
   readonly #random: RandomSource
-  /** How many faults of a name stand: one that another holds up does not end early. */
-  readonly #standing = new Map<string, number>()
-  readonly #losing = new Set<string>()
-  readonly #timer: NodeJS.Timeout
-  /** Counted by kind. */
-  readonly done = new Map<string, number>()
-  /** The times between which some unplanned fault stood. */
-  readonly #troubles: { readonly from: number; until: number }[] = []
-
-  constructor(world: SoakWorld, random: RandomSource) {
-    this.#world = world
+  /** The number of active faults by overlap key; the effect ends with the last of them. */
+  readonly #activeCounts = new Map<string, number>()
+  readonly #serversLosingAnswers = new Set<string>()
+  readonly #roleTimer: NodeJS.Timeout
+  /** The number of started faults by kind. */
+  readonly faultCounts = new Map<string, number>()
+  /** The intervals in which an unplanned fault was active. */
+  readonly #unplannedFaults: { readonly from: number; until: number }[] = []
+
+  constructor(fleet: SoakFleet, random: RandomSource) {
+    this.#fleet = fleet
     this.#random = random
-    this.#world.dialer.hooks.onCommand = server => this.#fateOf(server)
-    this.#timer = setInterval(() => {
-      world.listRoles()
+    this.#fleet.dialer.hooks.onCommand = server => this.#commandFaultOf(server)
+    this.#roleTimer = setInterval(() => {
+      fleet.updateServerRoles()
     }, ROLE_CHECK_MILLISECONDS)
   }
 
@@ -40,49 +40,49 @@
     const startedAt = performance.now()
     await Promise.all(
       plan.map(async planned => {
-        await delay(Math.max(0, planned.at - (performance.now() - startedAt)))
-        await this.#carryOut(planned)
+        await delay(Math.max(0, planned.startsAtMilliseconds - (performance.now() - startedAt)))
+        await this.#applyFault(planned)
       }),
     )
   }
 
   close(): void {
-    clearInterval(this.#timer)
+    clearInterval(this.#roleTimer)
   }
 
-  /** Whether any unplanned fault stood since then. */
-  wasTroubledSince(moment: number): boolean {
-    return this.#troubles.some(({ until }) => until >= moment)
+  /** Whether an unplanned fault was active at or after `time`. */
+  hadUnplannedFaultSince(time: number): boolean {
+    return this.#unplannedFaults.some(({ until }) => until >= time)
   }
 
-  async #carryOut({ fault, lasts }: PlannedFault): Promise<void> {
-    this.done.set(fault.kind, (this.done.get(fault.kind) ?? 0) + 1)
-    const trouble = { from: performance.now(), until: Number.POSITIVE_INFINITY }
-    if (!PLANNED_KINDS.includes(fault.kind)) this.#troubles.push(trouble)
+  async #applyFault({ fault, durationMilliseconds }: PlannedFault): Promise<void> {
+    this.faultCounts.set(fault.kind, (this.faultCounts.get(fault.kind) ?? 0) + 1)
+    const interval = { from: performance.now(), until: Number.POSITIVE_INFINITY }
+    if (!PLANNED_KINDS.includes(fault.kind)) this.#unplannedFaults.push(interval)
     await this.#begin(fault)
-    await delay(lasts)
+    await delay(durationMilliseconds)
     await this.#end(fault)
-    trouble.until = performance.now()
+    interval.until = performance.now()
   }
 
   async #begin(fault: Fault): Promise<void> {
-    if (!this.#enter(fault)) return
-    const { relay, store } = this.#world
+    if (!this.#activate(fault)) return
+    const { relay, store } = this.#fleet
     switch (fault.kind) {
       case 'hostKilled':
-        this.#world.host(fault.host).signal('SIGKILL')
+        this.#fleet.host(fault.host).signal('SIGKILL')
         return
       case 'hostFrozen':
-        this.#world.host(fault.host).signal('SIGSTOP')
+        this.#fleet.host(fault.host).signal('SIGSTOP')
         return
       case 'hostStopped':
-        await this.#world.host(fault.host).stop()
+        await this.#fleet.host(fault.host).stop()
         return
       case 'hostStoppedTwice':
-        await this.#world.host(fault.host).stop(SECOND_SIGNAL_MILLISECONDS)
+        await this.#fleet.host(fault.host).stop(SECOND_SIGNAL_MILLISECONDS)
         return
       case 'hostReloaded':
-        this.#world.host(fault.host).reload()
+        this.#fleet.host(fault.host).reload()
         return
       case 'cut':
         relay.cut({ from: [fault.from], to: [fault.host], cut: true, oneWay: fault.oneWay })
@@ -94,8 +94,8 @@
         relay.silence({ from: [fault.from], to: [fault.host] })
         return
       case 'serverCrashed':
-        this.#world.groupOf(fault.server).crash(this.#server(fault.server))
-        this.#world.dialer.cut(backendServerId(fault.server))
+        this.#fleet.groupOf(fault.server).crash(this.#server(fault.server))
+        this.#fleet.dialer.cut(backendServerId(fault.server))
         return
       case 'serverSilent':
         this.#server(fault.server).isSilent = true
@@ -104,70 +104,70 @@
         this.#server(fault.server).isDeaf = true
         return
       case 'serverLeaves':
-        this.#world.list(fault.server, true)
+        this.#fleet.updateServerEntry(fault.server, true)
         return
       case 'answersLost':
-        this.#losing.add(fault.server)
+        this.#serversLosingAnswers.add(fault.server)
         return
       case 'storeAway':
-        for (const { plan } of this.#world.hosts) {
+        for (const { plan } of this.#fleet.hosts) {
           relay.cut({ from: [STORE], to: [plan.name], cut: true, oneWay: false })
         }
         return
       case 'storeLosesAnswers':
-        this.#world.losesStoreAnswers = true
+        this.#fleet.dropsStoreAnswers = true
         return
       case 'storeForgetsHistory':
         store.compact()
         return
       case 'configurationChanged':
-        this.#world.configure()
+        this.#fleet.publishConfiguration()
     }
   }
 
   async #end(fault: Fault): Promise<void> {
-    if (!this.#leave(fault)) return
-    const { relay } = this.#world
+    if (!this.#deactivate(fault)) return
+    const { relay } = this.#fleet
     switch (fault.kind) {
       case 'hostKilled':
       case 'hostStopped':
       case 'hostStoppedTwice':
       case 'hostFrozen': {
-        // The last of several faults of one process ends them all, whichever they were.
-        const host = this.#world.host(fault.host)
+        // The end of the last fault of a process undoes the effects of all of them, whatever their kinds.
+        const host = this.#fleet.host(fault.host)
         host.signal('SIGCONT')
         host.start()
-        await host.whenReady()
+        await host.waitUntilReady()
         return
       }
       case 'cut':
         relay.cut({ from: [fault.from], to: [fault.host], cut: false, oneWay: false })
         return
       case 'serverCrashed':
-        this.#world.groupOf(fault.server).comeBack(this.#server(fault.server))
+        this.#fleet.groupOf(fault.server).comeBack(this.#server(fault.server))
         return
       case 'serverSilent': {
         const server = this.#server(fault.server)
         server.isSilent = false
-        this.#world.groupOf(fault.server).comeBack(server)
+        this.#fleet.groupOf(fault.server).comeBack(server)
         return
       }
       case 'replicaDeaf':
         this.#server(fault.server).isDeaf = false
         return
       case 'serverLeaves':
-        this.#world.list(fault.server, false)
+        this.#fleet.updateServerEntry(fault.server, false)
         return
       case 'answersLost':
-        this.#losing.delete(fault.server)
+        this.#serversLosingAnswers.delete(fault.server)
         return
       case 'storeAway':
-        for (const { plan } of this.#world.hosts) {
+        for (const { plan } of this.#fleet.hosts) {
           relay.cut({ from: [STORE], to: [plan.name], cut: false, oneWay: false })
         }
         return
       case 'storeLosesAnswers':
-        this.#world.losesStoreAnswers = false
+        this.#fleet.dropsStoreAnswers = false
         return
       case 'hostReloaded':
       case 'reset':
@@ -179,33 +179,34 @@
   }
 
   #server(id: string): MemoryServer {
-    return this.#world.groupOf(id).server(backendServerId(id))
+    return this.#fleet.groupOf(id).server(backendServerId(id))
   }
 
-  #fateOf(server: string): CommandFault {
-    if (!this.#losing.has(server) || this.#random.next() >= LOST_PART) return 'none'
+  #commandFaultOf(server: string): CommandFault {
+    if (!this.#serversLosingAnswers.has(server) || this.#random.next() >= LOST_ANSWER_SHARE)
+      return 'none'
     return this.#random.next() < 0.5 ? 'lostAfter' : 'cutAfter'
   }
 
-  /** True for the first of equal faults. */
-  #enter(fault: Fault): boolean {
-    const name = nameOf(fault)
-    const standing = this.#standing.get(name) ?? 0
-    this.#standing.set(name, standing + 1)
+  /** Returns true if no other fault with the same overlap key is active. */
+  #activate(fault: Fault): boolean {
+    const name = overlapKey(fault)
+    const standing = this.#activeCounts.get(name) ?? 0
+    this.#activeCounts.set(name, standing + 1)
     return standing === 0
   }
 
-  /** True for the last of equal faults. */
-  #leave(fault: Fault): boolean {
-    const name = nameOf(fault)
-    const standing = (this.#standing.get(name) ?? 1) - 1
-    this.#standing.set(name, standing)
+  /** Returns true if this was the last active fault with its overlap key. */
+  #deactivate(fault: Fault): boolean {
+    const name = overlapKey(fault)
+    const standing = (this.#activeCounts.get(name) ?? 1) - 1
+    this.#activeCounts.set(name, standing)
     return standing === 0
   }
 }
 
-/** Faults of one name hold each other up. A host that is down is neither killed, stopped nor frozen again. */
-function nameOf(fault: Fault): string {
+/** Faults with the same key share one effect: a host that is down is not killed, stopped or frozen again. */
+function overlapKey(fault: Fault): string {
   switch (fault.kind) {
     case 'hostKilled':
     case 'hostStopped':
--- a/packages/soak/src/faultPlan.ts
+++ b/packages/soak/src/faultPlan.ts
@@ -1,4 +1,4 @@
-/** What a run does to the fleet, drawn from a seed: the same seed and sizes give the same plan. */
+/** Draws the faults of a run from a seed: the same seed and sizes give the same plan. */
 import type { RandomSource } from '@nutmegcourse/shared'
 import { pick } from '@nutmegcourse/stand-ins'
 
@@ -7,13 +7,13 @@
   | { readonly kind: 'hostKilled'; readonly host: string }
   /** SIGSTOP and SIGCONT. */
   | { readonly kind: 'hostFrozen'; readonly host: string }
-  /** SIGTERM, the planned stop; the process is started again once it has ended. */
+  /** SIGTERM, a planned stop; the process is started again after it has ended. */
   | { readonly kind: 'hostStopped'; readonly host: string }
-  /** SIGTERM, and the same signal and SIGHUP again while it stops. */
+  /** SIGTERM, followed by a second SIGTERM and a SIGHUP while the process stops. */
   | { readonly kind: 'hostStoppedTwice'; readonly host: string }
-  /** SIGHUP: its settings file was written anew. */
+  /** SIGHUP, which makes the process reload its settings file. */
   | { readonly kind: 'hostReloaded'; readonly host: string }
-  /** Nothing passes between the two, or only in one direction. */
+  /** No data passes between `from` and the host, or in one direction only. */
   | {
       readonly kind: 'cut'
       readonly host: string
@@ -21,18 +21,18 @@
       readonly oneWay: boolean
     }
   | { readonly kind: 'reset'; readonly host: string; readonly from: string }
-  /** Open connections go silent without an end; new ones work. */
+  /** Open connections carry no more data and are not closed; new connections work. */
   | { readonly kind: 'silenced'; readonly host: string; readonly from: string }
   | { readonly kind: 'serverCrashed'; readonly server: string }
-  /** It keeps its connections and answers nothing. */
+  /** The server keeps its connections open and answers nothing. */
   | { readonly kind: 'serverSilent'; readonly server: string }
-  /** A replica that receives nothing. */
+  /** The server receives no replicated records. */
   | { readonly kind: 'replicaDeaf'; readonly server: string }
-  /** It says that it leaves, and is well again afterwards. */
+  /** The server is listed as leaving until the fault ends. */
   | { readonly kind: 'serverLeaves'; readonly server: string }
   | { readonly kind: 'answersLost'; readonly server: string }
   | { readonly kind: 'storeAway' }
-  /** It carries changes out and does not answer. */
+  /** The store applies changes without answering. */
   | { readonly kind: 'storeLosesAnswers' }
   | { readonly kind: 'storeForgetsHistory' }
   | { readonly kind: 'configurationChanged' }
@@ -41,25 +41,25 @@
 
 export interface PlannedFault {
   readonly fault: Fault
-  /** Milliseconds from the start of the faults. */
-  readonly at: number
-  readonly lasts: number
+  /** Relative to the start of the plan. */
+  readonly startsAtMilliseconds: number
+  readonly durationMilliseconds: number
 }
 
 export interface PlanSizes {
   readonly hosts: readonly string[]
   readonly servers: readonly string[]
   readonly spanMilliseconds: number
-  /** From the begin of one fault to that of the next, on average. */
+  /** The average time from the start of one fault to the start of the next. */
   readonly paceMilliseconds: number
-  /** Which faults to draw from. */
+  /** The kinds of fault to draw from. */
   readonly kinds: readonly FaultKind[]
 }
 
 export const STORE = 'store'
 export const CALLERS = 'callers'
 
-/** What operators do, and what may not be noticed by callers. */
+/** Planned operations, which must not interrupt callers. */
 export const PLANNED_KINDS: readonly FaultKind[] = [
   'hostStopped',
   'hostStoppedTwice',
@@ -67,8 +67,8 @@
   'configurationChanged',
 ]
 
-/** What a run draws from unless it is told otherwise. A seed draws the same from the same kinds only. */
-export const FAULT_KINDS: readonly FaultKind[] = [
+/** The default kinds. A seed gives the same plan only with the same kinds in the same order. */
+export const DEFAULT_FAULT_KINDS: readonly FaultKind[] = [
   'hostKilled',
   'hostFrozen',
   'hostStopped',
@@ -86,19 +86,23 @@
   'configurationChanged',
 ]
 
-const SHORTEST_MILLISECONDS = 200
-const LONGEST_MILLISECONDS = 4000
+const MIN_DURATION_MILLISECONDS = 200
+const MAX_DURATION_MILLISECONDS = 4000
 
 export function planFaults(sizes: PlanSizes, random: RandomSource): PlannedFault[] {
   const planned: PlannedFault[] = []
-  let at = 0
+  let startsAtMilliseconds = 0
   for (;;) {
-    at += sizes.paceMilliseconds * (0.25 + 1.5 * random.next())
-    if (at >= sizes.spanMilliseconds) return planned
-    const span = LONGEST_MILLISECONDS - SHORTEST_MILLISECONDS
-    // Short faults are as likely as long ones are rare: most troubles of a network last under a second.
-    const lasts = SHORTEST_MILLISECONDS + span * random.next() ** 2
-    planned.push({ fault: drawFault(sizes, random), at, lasts })
+    startsAtMilliseconds += sizes.paceMilliseconds * (0.25 + 1.5 * random.next())
+    if (startsAtMilliseconds >= sizes.spanMilliseconds) return planned
+    const span = MAX_DURATION_MILLISECONDS - MIN_DURATION_MILLISECONDS
+    // Squaring favours short faults: most network faults last less than a second.
+    const durationMilliseconds = MIN_DURATION_MILLISECONDS + span * random.next() ** 2
+    planned.push({
+      fault: drawFault(sizes, random),
+      startsAtMilliseconds,
+      durationMilliseconds,
+    })
   }
 }
 
--- a/packages/soak/src/hostProcess.ts
+++ b/packages/soak/src/hostProcess.ts
@@ -1,18 +1,19 @@
-/** One entry host as a process of its own, with the signals that trouble it. */
+/** Runs one entry host as a separate process and sends it signals. */
 import { spawn, type ChildProcess } from 'node:child_process'
 import { closeSync, openSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
 import { setTimeout as delay } from 'node:timers/promises'
 import { readinessOf } from '@nutmegcourse/platform/standIns'
 
-const READY_LIMIT_MILLISECONDS = 30_000
-const LOOK_AGAIN_MILLISECONDS = 50
-const LAST_BYTES_MILLISECONDS = 100
+const READY_TIMEOUT_MILLISECONDS = 30_000
+const READINESS_POLL_MILLISECONDS = 50
+const CLOSE_PROPAGATION_MILLISECONDS = 100
 
 export interface HostProcessPlan {
   readonly name: string
-  /** The program's file, and the directory for settings and logs. */
+  /** The path of the program. */
   readonly program: string
+  /** The directory for settings and logs. */
   readonly directory: string
   readonly settings: string
   readonly readinessPort: number
@@ -21,9 +22,9 @@
 export class HostProcess {
   readonly plan: HostProcessPlan
   #child: ChildProcess | null = null
-  /** In this life of the process. */
-  #wasReady = false
-  /** From the signal to stop until callers have seen the end. */
+  /** Whether the current incarnation of the process has become ready. */
+  #hasBecomeReady = false
+  /** From the stop signal until callers have received the end of their connections. */
   isStopping = false
 
   constructor(plan: HostProcessPlan) {
@@ -34,14 +35,14 @@
     return this.#isRunning ? (this.#child?.pid ?? null) : null
   }
 
-  /** What the process wrote, in all its lives. */
+  /** The output of all incarnations of the process. */
   get logFile(): string {
     return join(this.plan.directory, `${this.plan.name}.log`)
   }
 
   start(): void {
     if (this.#isRunning) return
-    this.#wasReady = false
+    this.#hasBecomeReady = false
     const path = join(this.plan.directory, `${this.plan.name}.yaml`)
     writeFileSync(path, this.plan.settings)
     const log = openSync(this.logFile, 'a')
@@ -51,12 +52,12 @@
     })
     closeSync(log)
     const child = this.#child
-    // A run that is broken off leaves no hosts behind, frozen ones neither.
-    const end = (): void => {
+    // An interrupted run must leave no hosts behind; SIGKILL also ends frozen ones.
+    const killChild = (): void => {
       child.kill('SIGKILL')
     }
-    process.once('exit', end)
-    child.once('exit', () => process.off('exit', end))
+    process.once('exit', killChild)
+    child.once('exit', () => process.off('exit', killChild))
   }
 
   signal(name: 'SIGKILL' | 'SIGSTOP' | 'SIGCONT' | 'SIGTERM' | 'SIGHUP'): void {
@@ -64,39 +65,39 @@
   }
 
   /**
-   * The planned stop; resolves when the process has ended. `again`: after so many milliseconds it is
-   * told once more, and that its settings changed.
+   * Performs a planned stop; resolves when the process has ended. `repeatAfterMilliseconds`: when
+   * set, sends a second SIGTERM and a SIGHUP after this delay.
    */
-  async stop(again: number | null = null): Promise<void> {
+  async stop(repeatAfterMilliseconds: number | null = null): Promise<void> {
     const child = this.#child
     if (child === null || !this.#isRunning) return
     const ended = new Promise(resolve => child.once('exit', resolve))
     this.isStopping = true
     child.kill('SIGTERM')
-    if (again !== null) {
-      await Promise.race([ended, delay(again)])
+    if (repeatAfterMilliseconds !== null) {
+      await Promise.race([ended, delay(repeatAfterMilliseconds)])
       this.signal('SIGTERM')
       this.signal('SIGHUP')
     }
     await ended
-    // The end of its connections reaches callers through the relay a little later.
-    await delay(LAST_BYTES_MILLISECONDS)
+    // The relay passes the end of the connections on to callers with a short delay.
+    await delay(CLOSE_PROPAGATION_MILLISECONDS)
     this.isStopping = false
   }
 
-  /** A host that has not begun to listen knows nothing of signals yet. */
+  /** Sends SIGHUP if the host has become ready; before it listens, it does not handle signals yet. */
   reload(): void {
-    if (this.#wasReady) this.signal('SIGHUP')
+    if (this.#hasBecomeReady) this.signal('SIGHUP')
   }
 
-  async whenReady(): Promise<boolean> {
-    const limit = performance.now() + READY_LIMIT_MILLISECONDS
-    while (performance.now() < limit) {
+  async waitUntilReady(): Promise<boolean> {
+    const deadline = performance.now() + READY_TIMEOUT_MILLISECONDS
+    while (performance.now() < deadline) {
       if ((await readinessOf(this.plan.readinessPort)) === 200) {
-        this.#wasReady = true
+        this.#hasBecomeReady = true
         return true
       }
-      await delay(LOOK_AGAIN_MILLISECONDS)
+      await delay(READINESS_POLL_MILLISECONDS)
     }
     return false
   }
--- a/packages/soak/src/index.ts
+++ b/packages/soak/src/index.ts
@@ -1,5 +1,5 @@
-/** The fault soak: real entry hosts under random faults, checked against their promises. Private. */
+/** The soak test: runs entry host processes under random faults and checks their consistency. Private. */
 export * from './faultPlan.js'
-export { PromiseJudge, type ReadRule } from './promiseJudge.js'
+export { ConsistencyChecker, type ReadRule } from './consistencyChecker.js'
 export * from './runSoak.js'
-export type { OnTold, ToldStatement } from './soakCaller.js'
+export type { OnUnsuccessfulStatement, UnsuccessfulStatement } from './soakCaller.js'
--- a/packages/soak/src/main.ts
+++ b/packages/soak/src/main.ts
@@ -1,33 +1,33 @@
 #!/usr/bin/env node
-/** Runs the soak for one seed or several, one after the other. */
+/** Runs the soak test for one or more seeds, one after the other. */
 import { existsSync, mkdirSync, mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { fileURLToPath } from 'node:url'
 import { parseArgs } from 'node:util'
-import { FAULT_KINDS, PLANNED_KINDS, type FaultKind } from './faultPlan.js'
+import { DEFAULT_FAULT_KINDS, PLANNED_KINDS, type FaultKind } from './faultPlan.js'
 import { runSoak, type SoakOptions } from './runSoak.js'
-import type { ToldStatement } from './soakCaller.js'
+import type { UnsuccessfulStatement } from './soakCaller.js'
 
 const USAGE = `usage: npm run soak -- [options]
-  --seed N       the first seed (default: drawn from the time)
-  --seeds N      how many seeds, one after the other (1)
-  --seconds N    faults for so long, each seed (20)
-  --hosts N      entry hosts (6)
-  --services N   groups of three backend servers (2)
-  --callers N    callers (24)
-  --pace N       milliseconds from one fault to the next, on average (600)
-  --limit N      connections that a backend server takes (25)
-  --kinds A,B    only these faults
-  --program F    another build of the entry host's program
-  --keep DIR     keep settings and logs there
-  --told         one line of JSON on standard error for each statement that got no ordinary answer
-Each seed ends with one line of JSON. Exit code 1: a promise was broken. 2: bad options.
-130: broken off by a signal.`
+  --seed N       the first seed (default: derived from the current time)
+  --seeds N      number of seeds, run one after the other (1)
+  --seconds N    duration of the faults for each seed (20)
+  --hosts N      number of entry hosts (6)
+  --services N   number of services, each a group of three backend servers (2)
+  --callers N    number of callers (24)
+  --pace N       average milliseconds between the starts of two faults (600)
+  --limit N      connection limit of a backend server (25)
+  --kinds A,B    inject only these kinds of fault
+  --program F    path of another build of the entry host program
+  --keep DIR     keep settings and logs in this directory
+  --told         print one line of JSON to standard error for each statement without a successful answer
+Prints one line of JSON for each seed. Exit code 1: a promise was broken. 2: invalid options.
+130: interrupted by a signal.`
 
-const EXIT_FOUND = 1
+const EXIT_FINDINGS = 1
 const EXIT_BAD_OPTIONS = 2
-const EXIT_BROKEN_OFF = 130
+const EXIT_INTERRUPTED = 130
 const PROGRAM = fileURLToPath(new URL('../../../host/dist/src/main.js', import.meta.url))
 
 const OPTIONS = {
@@ -46,13 +46,13 @@
   help: { type: 'boolean', default: false },
 } as const
 
-interface Plan extends Omit<SoakOptions, 'directory' | 'onTold'> {
-  readonly told: boolean
+interface Plan extends Omit<SoakOptions, 'directory' | 'onUnsuccessfulStatement'> {
+  readonly printsUnsuccessful: boolean
   readonly seeds: number
   readonly keep: string | null
 }
 
-/** The plan, or every mistake in the options. */
+/** Returns the plan, or all mistakes in the options. */
 function readOptions(): Plan | readonly string[] {
   const mistakes: string[] = []
   let values
@@ -63,13 +63,13 @@
   }
   const count = (name: string, text: string): number => {
     const value = Number(text)
-    if (!Number.isInteger(value) || value < 1) mistakes.push(`--${name}: a whole number above 0`)
+    if (!Number.isInteger(value) || value < 1) mistakes.push(`--${name}: not a positive integer`)
     return value
   }
-  const kinds = values.kinds === undefined ? FAULT_KINDS : values.kinds.split(',')
-  const known = new Set<string>([...FAULT_KINDS, ...PLANNED_KINDS])
+  const kinds = values.kinds === undefined ? DEFAULT_FAULT_KINDS : values.kinds.split(',')
+  const known = new Set<string>([...DEFAULT_FAULT_KINDS, ...PLANNED_KINDS])
   for (const kind of kinds) {
-    if (!known.has(kind)) mistakes.push(`--kinds: ${kind} is none of ${[...known].join(', ')}`)
+    if (!known.has(kind)) mistakes.push(`--kinds: ${kind} is not one of ${[...known].join(', ')}`)
   }
   const plan: Plan = {
     seed: count('seed', values.seed ?? String(Date.now() % 1_000_000_000)),
@@ -83,9 +83,9 @@
     kinds: kinds as readonly FaultKind[],
     program: values.program,
     keep: values.keep ?? null,
-    told: values.told,
+    printsUnsuccessful: values.told,
   }
-  if (!existsSync(plan.program)) mistakes.push(`--program: no file ${plan.program}`)
+  if (!existsSync(plan.program)) mistakes.push(`--program: file not found: ${plan.program}`)
   if (values.help) mistakes.push(USAGE)
   return mistakes.length > 0 ? mistakes : plan
 }
@@ -94,20 +94,21 @@
   if (plan.keep !== null) mkdirSync(plan.keep, { recursive: true })
   for (let seed = plan.seed; seed < plan.seed + plan.seeds; seed += 1) {
     const directory = mkdtempSync(join(plan.keep ?? tmpdir(), `soak-${String(seed)}-`))
-    const onTold = (told: ToldStatement): void => {
-      if (plan.told) process.stderr.write(`${JSON.stringify({ seed, ...told })}\n`)
+    const onUnsuccessfulStatement = (statement: UnsuccessfulStatement): void => {
+      if (plan.printsUnsuccessful)
+        process.stderr.write(`${JSON.stringify({ seed, ...statement })}\n`)
     }
-    const report = await runSoak({ ...plan, seed, directory, onTold })
+    const report = await runSoak({ ...plan, seed, directory, onUnsuccessfulStatement })
     process.stdout.write(`${JSON.stringify(report)}\n`)
     const isClean = report.findings.length === 0
-    if (!isClean) process.exitCode = EXIT_FOUND
+    if (!isClean) process.exitCode = EXIT_FINDINGS
     if (plan.keep === null) rmSync(directory, { recursive: true, force: true })
   }
 }
 
-// The end of this process ends its hosts, if it comes by `exit`.
+// A signal ends this process through `exit`, whose handlers kill the entry hosts.
 for (const name of ['SIGINT', 'SIGTERM'] as const) {
-  process.once(name, () => process.exit(EXIT_BROKEN_OFF))
+  process.once(name, () => process.exit(EXIT_INTERRUPTED))
 }
 
 const plan = readOptions()
--- a/packages/soak/src/runSoak.ts
+++ b/packages/soak/src/runSoak.ts
@@ -1,12 +1,12 @@
-/** One run: a fleet, callers, the faults of one seed, and what the judge found. */
+/** One run: starts a fleet and callers, injects the faults of one seed and reports the findings. */
 import { setTimeout as delay } from 'node:timers/promises'
 import { SeededRandom } from '@nutmegcourse/shared'
 import { FaultInjector } from './faultInjector.js'
 import { planFaults, type FaultKind } from './faultPlan.js'
-import { PromiseJudge } from './promiseJudge.js'
-import { SoakCaller, type OnTold } from './soakCaller.js'
-import { SoakWorld } from './soakWorld.js'
-import { StandstillWatch, type Standstill } from './standstillWatch.js'
+import { ConsistencyChecker } from './consistencyChecker.js'
+import { SoakCaller, type OnUnsuccessfulStatement } from './soakCaller.js'
+import { SoakFleet } from './soakFleet.js'
+import { StallDetector, type Stall } from './stallDetector.js'
 
 export interface SoakOptions {
   readonly seed: number
@@ -18,55 +18,55 @@
   readonly connectionLimit: number
   readonly kinds: readonly FaultKind[]
   readonly program: string
-  /** For the hosts' settings and logs. */
+  /** The directory for the settings and logs of the hosts. */
   readonly directory: string
-  /** Hears of each statement that got no ordinary answer. */
-  readonly onTold?: OnTold
+  /** Called for each statement without a successful answer. */
+  readonly onUnsuccessfulStatement?: OnUnsuccessfulStatement
 }
 
 export interface SoakReport {
   readonly seed: number
   readonly findings: readonly string[]
   readonly faults: Readonly<Record<string, number>>
-  readonly operations: PromiseJudge['counts']
+  readonly operations: ConsistencyChecker['counts']
   readonly promotions: number
-  /** From the end of the last fault until each host wrote to each service; null when one did not. */
+  /** From the end of the last fault until every host has written to every service; null on a timeout. */
   readonly recoveryMilliseconds: number | null
-  /** Standstills of this process, which runs the callers, the servers and the store. Hosts log their own. */
-  readonly standstills: readonly Standstill[]
+  /** Stalls of this process, which runs the callers, the servers and the store. Hosts log their own stalls. */
+  readonly standstills: readonly Stall[]
 }
 
-/** After the last fault each host serves each service again within this. */
-const RECOVERY_LIMIT_MILLISECONDS = 12_000
+/** The time within which every host must serve every service again after the last fault. */
+const RECOVERY_TIMEOUT_MILLISECONDS = 12_000
 
-/** A connection that breaks so soon after an unplanned fault may be its doing. */
-const AFTERMATH_MILLISECONDS = 3000
+/** A failed statement within this time after an unplanned fault may be caused by the fault. */
+const FAULT_AFTERMATH_MILLISECONDS = 3000
 
-/** What is told so soon after a standstill of this process may be its doing. */
-const STANDSTILL_AFTERMATH_MILLISECONDS = 500
+/** A failed statement within this time after a stall of this process may be caused by the stall. */
+const STALL_AFTERMATH_MILLISECONDS = 500
 
 export async function runSoak(options: SoakOptions): Promise<SoakReport> {
   const random = new SeededRandom(options.seed)
-  const world = new SoakWorld(options)
-  const judge = new PromiseJudge(world.groups)
-  const injector = new FaultInjector(world, random)
-  const watch = new StandstillWatch()
+  const fleet = new SoakFleet(options)
+  const checker = new ConsistencyChecker(fleet.groups)
+  const injector = new FaultInjector(fleet, random)
+  const stallDetector = new StallDetector()
   try {
-    await world.start()
+    await fleet.start()
     const isExcused = (): boolean => {
       const now = performance.now()
       return (
-        injector.wasTroubledSince(now - AFTERMATH_MILLISECONDS) ||
-        watch.wasStillSince(now - STANDSTILL_AFTERMATH_MILLISECONDS)
+        injector.hadUnplannedFaultSince(now - FAULT_AFTERMATH_MILLISECONDS) ||
+        stallDetector.hasStalledSince(now - STALL_AFTERMATH_MILLISECONDS)
       )
     }
-    const callers = makeCallers(options, world, judge, isExcused)
+    const callers = makeCallers(options, fleet, checker, isExcused)
     const running = callers.map(caller => caller.run())
     await injector.run(
       planFaults(
         {
-          hosts: world.hosts.map(({ plan }) => plan.name),
-          servers: world.groups.flatMap(group => [...group.servers.keys()]),
+          hosts: fleet.hosts.map(({ plan }) => plan.name),
+          servers: fleet.groups.flatMap(group => [...group.servers.keys()]),
           spanMilliseconds: options.seconds * 1000,
           paceMilliseconds: options.paceMilliseconds,
           kinds: options.kinds,
@@ -74,55 +74,60 @@
         random,
       ),
     )
-    const recoveryMilliseconds = await recover(world, judge)
+    const recoveryMilliseconds = await waitForRecovery(fleet, checker)
     for (const caller of callers) caller.stop()
     await Promise.all(running)
     return {
       seed: options.seed,
-      findings: judge.close(),
-      faults: Object.fromEntries([...injector.done].sort()),
-      operations: judge.counts,
-      promotions: world.groups.reduce((sum, group) => sum + group.promotions, 0),
+      findings: checker.finish(),
+      faults: Object.fromEntries([...injector.faultCounts].sort()),
+      operations: checker.counts,
+      promotions: fleet.groups.reduce((sum, group) => sum + group.promotions, 0),
       recoveryMilliseconds,
-      standstills: watch.standstills,
+      standstills: stallDetector.stalls,
     }
   } finally {
-    watch.close()
+    stallDetector.close()
     injector.close()
-    world.close()
+    fleet.close()
   }
 }
 
 function makeCallers(
   options: SoakOptions,
-  world: SoakWorld,
-  judge: PromiseJudge,
+  fleet: SoakFleet,
+  checker: ConsistencyChecker,
   isExcused: () => boolean,
 ): SoakCaller[] {
-  const onTold: OnTold = told => {
-    options.onTold?.(told)
+  const onUnsuccessful: OnUnsuccessfulStatement = statement => {
+    options.onUnsuccessfulStatement?.(statement)
     if (isExcused()) return
-    judge.toldAmidPlannedWork(told, world.host(told.host).isStopping)
+    checker.checkDuringPlannedOperation(statement, fleet.host(statement.host).isStopping)
   }
   return Array.from({ length: options.callers }, (_, index) => {
     const random = new SeededRandom(options.seed * 1000 + index)
-    return new SoakCaller(`c${String(index)}`, world, judge, random, onTold)
+    return new SoakCaller(`c${String(index)}`, fleet, checker, random, onUnsuccessful)
   })
 }
 
-async function recover(world: SoakWorld, judge: PromiseJudge): Promise<number | null> {
-  const healedAt = performance.now()
-  const checker = new SoakCaller('check', world, judge, new SeededRandom(0), () => undefined)
-  for (const { plan } of world.hosts) {
-    for (const { service } of world.groups) {
-      while (!(await checker.writeAt(plan.name, service))) {
-        if (performance.now() - healedAt > RECOVERY_LIMIT_MILLISECONDS) {
-          judge.note(`${plan.name} makes no write to ${service} after the last fault`)
+async function waitForRecovery(
+  fleet: SoakFleet,
+  checker: ConsistencyChecker,
+): Promise<number | null> {
+  const faultsEndedAt = performance.now()
+  const prober = new SoakCaller('check', fleet, checker, new SeededRandom(0), () => undefined)
+  for (const { plan } of fleet.hosts) {
+    for (const { service } of fleet.groups) {
+      while (!(await prober.writeAt(plan.name, service))) {
+        if (performance.now() - faultsEndedAt > RECOVERY_TIMEOUT_MILLISECONDS) {
+          checker.addFinding(
+            `${plan.name} completed no write to ${service} within the recovery timeout after the last fault`,
+          )
           return null
         }
         await delay(50)
       }
     }
   }
-  return Math.round(performance.now() - healedAt)
+  return Math.round(performance.now() - faultsEndedAt)
 }
--- a/packages/soak/src/soakCaller.ts
+++ b/packages/soak/src/soakCaller.ts
@@ -1,110 +1,110 @@
-/** One caller: opens sessions at random hosts, asks, and tells the judge what it was told. */
+/** A caller that opens sessions at random hosts, sends statements and passes the answers to the checker. */
 import { setTimeout as delay } from 'node:timers/promises'
 import type { LogPosition, RandomSource } from '@nutmegcourse/shared'
 import { pick } from '@nutmegcourse/stand-ins'
 import { WireCaller, type WireAnswer } from '@nutmegcourse/platform/standIns'
-import type { PromiseJudge, ReadRule } from './promiseJudge.js'
+import type { ConsistencyChecker, ReadRule } from './consistencyChecker.js'
 import {
   BOUNDED_AGE_MILLISECONDS,
   GUARANTEES,
   databaseName,
   type Guarantee,
-  type SoakWorld,
-} from './soakWorld.js'
+  type SoakFleet,
+} from './soakFleet.js'
 
 const THINK_MILLISECONDS = 20
 const RECONNECT_MILLISECONDS = 50
-const STATEMENTS_A_SESSION = 25
-/** A caller gives up on an answer; the longest time limit of a route is a second. */
-const PATIENCE_MILLISECONDS = 8000
-const WRITE_PART = 0.3
-const TRANSACTION_PART = 0.2
+const STATEMENTS_PER_SESSION = 25
+/** A caller stops waiting for an answer after this time; the longest statement timeout of a route is 1 s. */
+const ANSWER_TIMEOUT_MILLISECONDS = 8000
+const WRITE_SHARE = 0.3
+const TRANSACTION_SHARE = 0.2
 
 interface Session {
   readonly wire: WireCaller
   readonly host: string
   readonly service: string
   readonly guarantee: Guarantee
-  own: LogPosition | null
+  ownPosition: LogPosition | null
 }
 
-/** A statement that got no ordinary answer. */
-export interface ToldStatement {
+/** A statement without a successful answer. */
+export interface UnsuccessfulStatement {
   readonly host: string
-  /** `-` for one that changes only the session. */
+  /** `-` for a statement that changes only the session. */
   readonly id: string
   readonly owedMilliseconds: number
-  /** `closed`: the connection ended in place of an answer. */
+  /** `closed`: the connection ended, or the wait timed out, before an answer arrived. */
   readonly answer: Exclude<WireAnswer, { kind: 'done' }>
   readonly at: string
 }
 
-export type OnTold = (told: ToldStatement) => void
+export type OnUnsuccessfulStatement = (statement: UnsuccessfulStatement) => void
 
 export class SoakCaller {
   readonly #name: string
-  readonly #world: SoakWorld
-  readonly #judge: PromiseJudge
+  readonly #fleet: SoakFleet
+  readonly #checker: ConsistencyChecker
   readonly #random: RandomSource
-  readonly #onTold: OnTold
+  readonly #onUnsuccessfulStatement: OnUnsuccessfulStatement
   #lastId = 0
-  #isOver = false
+  #isStopped = false
 
   constructor(
     name: string,
-    world: SoakWorld,
-    judge: PromiseJudge,
+    fleet: SoakFleet,
+    checker: ConsistencyChecker,
     random: RandomSource,
-    onTold: OnTold,
+    onUnsuccessfulStatement: OnUnsuccessfulStatement,
   ) {
     this.#name = name
-    this.#world = world
-    this.#judge = judge
+    this.#fleet = fleet
+    this.#checker = checker
     this.#random = random
-    this.#onTold = onTold
+    this.#onUnsuccessfulStatement = onUnsuccessfulStatement
   }
 
   async run(): Promise<void> {
-    while (!this.#isOver) {
-      const session = await this.#connect()
+    while (!this.#isStopped) {
+      const session = await this.#openRandomSession()
       if (session === null) await delay(RECONNECT_MILLISECONDS)
-      else await this.#use(session)
+      else await this.#runSession(session)
     }
   }
 
   stop(): void {
-    this.#isOver = true
+    this.#isStopped = true
   }
 
-  /** A write at one host; whether it was acknowledged. */
+  /** Sends a write to one host; returns whether it was acknowledged. */
   async writeAt(host: string, service: string): Promise<boolean> {
-    const session = await this.#open(host, service, 'own')
+    const session = await this.#openSession(host, service, 'own')
     if (session === null) return false
     const isDone = await this.#write(session)
     session.wire.leave()
     return isDone
   }
 
-  #connect(): Promise<Session | null> {
-    const host = pick(this.#world.hosts, this.#random).plan.name
-    const { service } = pick(this.#world.groups, this.#random)
-    return this.#open(host, service, pick(GUARANTEES, this.#random))
+  #openRandomSession(): Promise<Session | null> {
+    const host = pick(this.#fleet.hosts, this.#random).plan.name
+    const { service } = pick(this.#fleet.groups, this.#random)
+    return this.#openSession(host, service, pick(GUARANTEES, this.#random))
   }
 
-  async #open(host: string, service: string, guarantee: Guarantee): Promise<Session | null> {
-    const wire = new WireCaller(this.#world.callerPorts.get(host) ?? 0)
-    const isTaken = await this.#patiently(wire, wire.begin(databaseName(service, guarantee)))
-    if (isTaken === true) return { wire, host, service, guarantee, own: null }
+  async #openSession(host: string, service: string, guarantee: Guarantee): Promise<Session | null> {
+    const wire = new WireCaller(this.#fleet.callerPorts.get(host) ?? 0)
+    const isAccepted = await this.#withTimeout(wire, wire.begin(databaseName(service, guarantee)))
+    if (isAccepted === true) return { wire, host, service, guarantee, ownPosition: null }
     wire.destroy()
     return null
   }
 
-  async #use(session: Session): Promise<void> {
-    for (let count = 0; count < STATEMENTS_A_SESSION; count += 1) {
-      if (this.#isOver || session.wire.isClosed) break
+  async #runSession(session: Session): Promise<void> {
+    for (let count = 0; count < STATEMENTS_PER_SESSION; count += 1) {
+      if (this.#isStopped || session.wire.isClosed) break
       const draw = this.#random.next()
-      if (draw < TRANSACTION_PART) await this.#transact(session)
-      else if (draw < TRANSACTION_PART + WRITE_PART) await this.#write(session)
+      if (draw < TRANSACTION_SHARE) await this.#runTransaction(session)
+      else if (draw < TRANSACTION_SHARE + WRITE_SHARE) await this.#write(session)
       else await this.#read(session)
       await delay(THINK_MILLISECONDS * 2 * this.#random.next())
     }
@@ -114,79 +114,91 @@
   async #read(session: Session): Promise<void> {
     const id = this.#nextId()
     const { service } = session
-    const required = this.#judge.required(service, ruleOf(session.guarantee), session.own)
-    const answer = await this.#ask(session, id, session.wire.read(id, 'a1'))
-    if (answer.kind === 'done') this.#judge.readAnswered(service, id, answer, required)
+    const required = this.#checker.requiredPosition(
+      service,
+      readRuleOf(session.guarantee),
+      session.ownPosition,
+    )
+    const answer = await this.#awaitAnswer(session, id, session.wire.read(id, 'a1'))
+    if (answer.kind === 'done') this.#checker.checkRead(service, id, answer, required)
   }
 
   async #write(session: Session): Promise<boolean> {
     const id = this.#nextId()
-    const answer = await this.#ask(session, id, session.wire.write(id, 'a1', 'x'))
-    return this.#settle(session, [id], answer)
+    const answer = await this.#awaitAnswer(session, id, session.wire.write(id, 'a1', 'x'))
+    return this.#recordOutcome(session, [id], answer)
   }
 
-  /** A transaction of one or two writes that now and then rolls back, or is left open by a caller that goes. */
-  async #transact(session: Session): Promise<void> {
+  /** Runs a transaction of one or two writes; some are rolled back, some are left open by a disconnect. */
+  async #runTransaction(session: Session): Promise<void> {
     const { wire, service } = session
     const writes: string[] = []
-    const begun = await this.#ask(session, '-', wire.beginTransaction(this.#nextId()))
+    const begun = await this.#awaitAnswer(session, '-', wire.beginTransaction(this.#nextId()))
     if (begun.kind !== 'done') return
     const count = this.#random.next() < 0.5 ? 1 : 2
     for (let made = 0; made < count; made += 1) {
       const id = this.#nextId()
-      const answer = await this.#ask(session, id, wire.write(id, 'a1', 'x'))
+      const answer = await this.#awaitAnswer(session, id, wire.write(id, 'a1', 'x'))
       writes.push(id)
-      // Before its commit was asked for, nothing of a transaction may be kept, whatever became of it.
+      // Before its commit is sent, no write of a transaction may take effect, whatever its outcome.
       if (answer.kind !== 'done') {
-        this.#judge.notKept(service, writes)
-        await this.#ask(session, '-', wire.rollBack(this.#nextId()))
+        this.#checker.recordNotApplied(service, writes)
+        await this.#awaitAnswer(session, '-', wire.rollBack(this.#nextId()))
         return
       }
       await delay(THINK_MILLISECONDS * this.#random.next())
     }
     const draw = this.#random.next()
     if (draw < 0.1) {
-      this.#judge.notKept(service, writes)
+      this.#checker.recordNotApplied(service, writes)
       wire.destroy()
     } else if (draw < 0.25) {
-      this.#judge.notKept(service, writes)
-      await this.#ask(session, '-', wire.rollBack(this.#nextId()))
+      this.#checker.recordNotApplied(service, writes)
+      await this.#awaitAnswer(session, '-', wire.rollBack(this.#nextId()))
     } else {
       const id = this.#nextId()
-      this.#settle(session, writes, await this.#ask(session, id, wire.commit(id)))
+      this.#recordOutcome(session, writes, await this.#awaitAnswer(session, id, wire.commit(id)))
     }
   }
 
-  #settle(session: Session, ids: readonly string[], answer: WireAnswer): boolean {
+  #recordOutcome(session: Session, ids: readonly string[], answer: WireAnswer): boolean {
     if (answer.kind === 'done') {
-      session.own = this.#judge.acknowledged(session.service, ids, answer.signature) ?? session.own
+      session.ownPosition =
+        this.#checker.recordAcknowledged(session.service, ids, answer.signature) ??
+        session.ownPosition
       return true
     }
-    if (answer.kind === 'notRun') this.#judge.notKept(session.service, ids)
+    if (answer.kind === 'notRun') this.#checker.recordNotApplied(session.service, ids)
     return false
   }
 
-  async #ask(session: Session, id: string, asked: Promise<WireAnswer>): Promise<WireAnswer> {
-    const askedAt = performance.now()
-    const answer = (await this.#patiently(session.wire, asked)) ?? { kind: 'closed' }
-    const { counts } = this.#judge
+  async #awaitAnswer(
+    session: Session,
+    id: string,
+    pending: Promise<WireAnswer>,
+  ): Promise<WireAnswer> {
+    const sentAt = performance.now()
+    const answer = (await this.#withTimeout(session.wire, pending)) ?? { kind: 'closed' }
+    const { counts } = this.#checker
     if (answer.kind === 'notRun') counts.notRun += 1
     if (answer.kind === 'unknown') counts.unknown += 1
     if (answer.kind === 'closed') counts.closed += 1
     if (answer.kind !== 'done') {
-      const owedMilliseconds = Math.round((performance.now() - askedAt) * 10) / 10
+      const owedMilliseconds = Math.round((performance.now() - sentAt) * 10) / 10
       const at = new Date().toISOString()
-      this.#onTold({ host: session.host, id, owedMilliseconds, answer, at })
+      this.#onUnsuccessfulStatement({ host: session.host, id, owedMilliseconds, answer, at })
     }
     return answer
   }
 
-  /** Null when the answer does not come in time; the session is given up then. */
-  async #patiently<Value>(wire: WireCaller, asked: Promise<Value>): Promise<Value | null> {
-    const patience = new AbortController()
-    const late = delay(PATIENCE_MILLISECONDS, null, { signal: patience.signal }).catch(() => null)
-    const value = await Promise.race([asked, late])
-    patience.abort()
+  /** Returns null and closes the session if the answer does not arrive in time. */
+  async #withTimeout<Value>(wire: WireCaller, pending: Promise<Value>): Promise<Value | null> {
+    const timeout = new AbortController()
+    const timedOut = delay(ANSWER_TIMEOUT_MILLISECONDS, null, { signal: timeout.signal }).catch(
+      () => null,
+    )
+    const value = await Promise.race([pending, timedOut])
+    timeout.abort()
     if (value === null) wire.destroy()
     return value
   }
@@ -194,17 +206,17 @@
   #nextId(): string {
     this.#lastId += 1
     const id = `${this.#name}-${String(this.#lastId)}`
-    this.#judge.sent(id)
+    this.#checker.recordSent(id)
     return id
   }
 }
 
-function ruleOf(guarantee: Guarantee): ReadRule {
+function readRuleOf(guarantee: Guarantee): ReadRule {
   switch (guarantee) {
     case 'latest':
       return { kind: 'latest' }
     case 'bounded':
     case 'own':
-      return { kind: guarantee, age: BOUNDED_AGE_MILLISECONDS }
+      return { kind: guarantee, ageMilliseconds: BOUNDED_AGE_MILLISECONDS }
   }
 }
--- a/packages/soak/src/soakWorld.ts
+++ b/packages/soak/src/soakFleet.ts
@@ -1,6 +1,7 @@
 /**
- * The fleet of a run: real entry hosts as processes, stand-ins of the store and of the backend
- * servers in this one, and a relay on every way between them, so that each way can fail by itself.
+ * The fleet of a run: entry hosts as separate processes, stand-ins for the store and the backend
+ * servers in this process, and a relay on every link between them so that each link can fail
+ * independently.
  */
 import { availabilityZoneId, backendServerId, type BackendServerId } from '@nutmegcourse/shared'
 import type { BackendServerEntry, FleetConfiguration, Route } from '@nutmegcourse/protocol'
@@ -9,10 +10,10 @@
 import { CALLERS, STORE } from './faultPlan.js'
 import { HostProcess } from './hostProcess.js'
 
-export interface WorldPlan {
+export interface FleetPlan {
   readonly hosts: number
   readonly services: number
-  /** Connections that a backend server takes; few make owners of some hosts. */
+  /** The connection limit of a backend server; a low limit makes only some hosts owners of connections. */
   readonly connectionLimit: number
   readonly program: string
   readonly directory: string
@@ -21,16 +22,16 @@
 const ZONES = ['zone-a', 'zone-b', 'zone-c'] as const
 const REGIONS = { 'zone-a': 'region-1', 'zone-b': 'region-1', 'zone-c': 'region-2' }
 
-/** One way, between any two; what one availability zone takes to the next. */
-const DELAY_MILLISECONDS = 1
-const WORK_MILLISECONDS = 4
+/** The one-way delay of every link, as between two availability zones. */
+const LINK_DELAY_MILLISECONDS = 1
+const STATEMENT_WORK_MILLISECONDS = 4
 const PROMOTION_MILLISECONDS = 300
 export const DRAIN_MILLISECONDS = 5000
 const GRACE_SECONDS = 4
 export const BOUNDED_AGE_MILLISECONDS = 1500
-const SERVERS_EACH = 3
-/** For callers, readiness, and other hosts. */
-const PORTS_EACH = 3
+const SERVERS_PER_SERVICE = 3
+/** One port each for callers, readiness and other hosts. */
+const PORTS_PER_HOST = 3
 
 export type Guarantee = 'latest' | 'bounded' | 'own'
 export const GUARANTEES: readonly Guarantee[] = ['latest', 'bounded', 'own']
@@ -38,8 +39,8 @@
 export const databaseName = (service: string, guarantee: Guarantee): string =>
   `${service}-${guarantee}`
 
-export class SoakWorld {
-  readonly plan: WorldPlan
+export class SoakFleet {
+  readonly plan: FleetPlan
   readonly store = new MemoryStore()
   readonly groups: readonly MemoryGroup[]
   readonly dialer: MemoryDialer
@@ -48,21 +49,21 @@
     port: 0,
     regions: {},
     zoneDelayMilliseconds: 0,
-    regionDelayMilliseconds: DELAY_MILLISECONDS,
+    regionDelayMilliseconds: LINK_DELAY_MILLISECONDS,
   })
   readonly hosts: HostProcess[] = []
-  /** Where callers reach each host. */
+  /** The relay port at which callers reach each host. */
   readonly callerPorts = new Map<string, number>()
-  losesStoreAnswers = false
+  dropsStoreAnswers = false
   #version = 0
-  readonly #closing: (() => void)[] = []
+  readonly #closeCallbacks: (() => void)[] = []
   readonly #entries = new Map<BackendServerId, BackendServerEntry>()
 
-  constructor(plan: WorldPlan) {
+  constructor(plan: FleetPlan) {
     this.plan = plan
     this.groups = Array.from({ length: plan.services }, (_, index) => {
       const service = `service-${String(index + 1)}`
-      const servers = Array.from({ length: SERVERS_EACH }, (__, place) =>
+      const servers = Array.from({ length: SERVERS_PER_SERVICE }, (__, place) =>
         backendServerId(`${service}-${String(place + 1)}`),
       )
       return new MemoryGroup({
@@ -73,23 +74,23 @@
       })
     })
     this.dialer = new MemoryDialer(this.groups)
-    this.dialer.hooks.workMilliseconds = WORK_MILLISECONDS
+    this.dialer.hooks.workMilliseconds = STATEMENT_WORK_MILLISECONDS
   }
 
   async start(): Promise<void> {
     for (const group of this.groups) await this.#startGroup(group)
-    this.configure()
-    // All at once: a port drawn earlier is free still when the next are drawn, until its host listens.
-    const ports = await freePorts(this.plan.hosts * PORTS_EACH)
+    this.publishConfiguration()
+    // Allocated together: a port is free until its host listens, so a later call could return it again.
+    const ports = await freePorts(this.plan.hosts * PORTS_PER_HOST)
     for (let index = 0; index < this.plan.hosts; index += 1) {
-      await this.#addHost(index, ports.slice(index * PORTS_EACH))
+      await this.#addHost(index, ports.slice(index * PORTS_PER_HOST))
     }
-    const ready = await Promise.all(this.hosts.map(host => host.whenReady()))
-    if (!ready.every(Boolean)) throw new Error('a host never became ready')
+    const ready = await Promise.all(this.hosts.map(host => host.waitUntilReady()))
+    if (!ready.every(Boolean)) throw new Error('an entry host did not become ready in time')
   }
 
-  /** Writes the next version: the routes, with time limits that change from version to version. */
-  configure(): void {
+  /** Publishes the next configuration version; the statement timeouts change with each version. */
+  publishConfiguration(): void {
     this.#version += 1
     const timeout = 700 + (this.#version % 4) * 100
     const route = (service: string, guarantee: Guarantee): Route => ({
@@ -118,18 +119,18 @@
 
   host(name: string): HostProcess {
     const host = this.hosts.find(each => each.plan.name === name)
-    if (host === undefined) throw new Error(`no host ${name}`)
+    if (host === undefined) throw new Error(`unknown host ${name}`)
     return host
   }
 
   groupOf(server: string): MemoryGroup {
     const group = this.groups.find(each => each.servers.has(backendServerId(server)))
-    if (group === undefined) throw new Error(`no server ${server}`)
+    if (group === undefined) throw new Error(`unknown server ${server}`)
     return group
   }
 
-  /** Writes a server's entry anew, in the role that it has now. */
-  list(server: string, isLeaving = false): void {
+  /** Updates a server's entry with its current role, if the entry changes. */
+  updateServerEntry(server: string, isLeaving = false): void {
     const id = backendServerId(server)
     const entry = this.#entries.get(id)
     if (entry === undefined) return
@@ -140,12 +141,12 @@
     this.store.listServer(next)
   }
 
-  /** Servers say at once when their role changes, those that run. */
-  listRoles(): void {
+  /** Publishes role changes of running servers. */
+  updateServerRoles(): void {
     for (const group of this.groups) {
       for (const server of group.servers.values()) {
         if (!server.isDown && !server.isSilent) {
-          this.list(server.id, this.#entries.get(server.id)?.isLeaving)
+          this.updateServerEntry(server.id, this.#entries.get(server.id)?.isLeaving)
         }
       }
     }
@@ -156,7 +157,7 @@
       host.signal('SIGCONT')
       host.signal('SIGKILL')
     }
-    for (const close of this.#closing) close()
+    for (const close of this.#closeCallbacks) close()
     this.relay.stop()
   }
 
@@ -164,7 +165,7 @@
     let place = 0
     for (const server of group.servers.values()) {
       const listener = await serveBackend(this.dialer, group, server.id)
-      this.#closing.push(() => listener.close())
+      this.#closeCallbacks.push(() => listener.close())
       this.relay.target(server.id, portOf(listener))
       const entry: BackendServerEntry = {
         server: server.id,
@@ -186,12 +187,12 @@
   async #addHost(index: number, ports: readonly number[]): Promise<void> {
     const name = `host-${String(index + 1)}`
     const zone = ZONES[index % ZONES.length] ?? ZONES[0]
-    const serverPorts = await this.#serverPorts(name)
+    const serverPorts = await this.#openServerLinks(name)
     const listener = await serveStore(this.store, this.groups, {
       portOf: server => serverPorts.get(server) ?? 0,
-      losesAnswer: method => method === 'POST' && this.losesStoreAnswers,
+      losesAnswer: method => method === 'POST' && this.dropsStoreAnswers,
     })
-    this.#closing.push(() => {
+    this.#closeCallbacks.push(() => {
       listener.closeAllConnections()
       listener.close()
     })
@@ -227,8 +228,8 @@
     host.start()
   }
 
-  /** A port of its own for each server, so that this host's way to it can fail alone. */
-  async #serverPorts(host: string): Promise<Map<string, number>> {
+  /** Opens a separate relay port for each server, so that this host's link to it can fail independently. */
+  async #openServerLinks(host: string): Promise<Map<string, number>> {
     const ports = new Map<string, number>()
     for (const group of this.groups) {
       for (const server of group.servers.keys()) {
