--- a/packages/model/src/groupSpecification.ts
+++ b/packages/model/src/groupSpecification.ts
@@ -186,11 +186,9 @@
 }
 
 function startRead(state: GroupState): ReadState {
-  const requiredWrites = state.writes.flatMap((each, index) =>
-    each.isAcknowledged ? [index + 1] : [],
-  )
+  const required = state.writes.flatMap((each, index) => (each.isAcknowledged ? [index + 1] : []))
   const lowestReported = state.servers.map(server => positionOf(server, 'none'))
-  return { requiredWrites, lowestReported, lowestFromPrimaries: null }
+  return { requiredWrites: required, lowestReported, lowestFromPrimaries: null }
 }
 
 function replaceServer(
