--- a/packages/model/src/configurationSpecification.ts
+++ b/packages/model/src/configurationSpecification.ts
@@ -19,7 +19,7 @@
   | { readonly kind: 'unanswered'; readonly base: Document }
   | { readonly kind: 'accepted'; readonly version: number }
   | { readonly kind: 'refused' }
-  /** The store already held a later version when it was read back, so the outcome is undecidable. */
+  /** The store was already past the swap's version when it was read back: the outcome is undecidable. */
   | { readonly kind: 'unknown' }
 
 export interface ConfigurationState {
