--- a/packages/host/__tests__/changeOfPrimary.spec.ts
+++ b/packages/host/__tests__/changeOfPrimary.spec.ts
@@ -49,11 +49,11 @@
     [
       'crashes while a replica receives nothing',
       scene => {
-        scene.group.server(A).isDeaf = true
+        scene.group.server(A).isReplicationBlocked = true
         scene.group.commit(scene.group.primary, ['only at b'])
         scene.crash(P)
         setTimeout(() => {
-          scene.group.server(A).isDeaf = false
+          scene.group.server(A).isReplicationBlocked = false
         }, REPLICATION_OUTAGE_MILLISECONDS)
       },
     ],
--- a/packages/host/__tests__/relay.spec.ts
+++ b/packages/host/__tests__/relay.spec.ts
@@ -122,7 +122,7 @@
     await withOneOwner(async (fixture, _owner, other) => {
       const caller = await fixture.caller(other, 'own')
       for (const server of fixture.group.servers.values()) {
-        if (server.role === 'replica' && server.id !== 'i-b') server.isDeaf = true
+        if (server.role === 'replica' && server.id !== 'i-b') server.isReplicationBlocked = true
       }
       await caller.outcomeOf('write 1', 'mine')
       for (let reads = 0; reads < 4; reads += 1) {
--- a/packages/host/__tests__/statements.spec.ts
+++ b/packages/host/__tests__/statements.spec.ts
@@ -181,7 +181,7 @@
     await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const caller = await fixture.caller(host, 'own')
-      fixture.group.server(A).isDeaf = true
+      fixture.group.server(A).isReplicationBlocked = true
       expect(await caller.outcomeOf('write 1', 'w')).toEqual('done')
       for (let reads = 0; reads < 5; reads += 1) {
         const { answer } = await caller.run('read 1')
@@ -199,7 +199,7 @@
       await caller.outcomeOf('write 1', 'old')
       fixture.group.promote(A, 1000)
       await fixture.until(() => fixture.group.primary.id === A, 'the other leads')
-      fixture.group.server(P).isDeaf = true
+      fixture.group.server(P).isReplicationBlocked = true
       fixture.group.commit(fixture.group.primary, ['new'])
       const { answer } = await caller.run('read 1')
       expect(answer.kind === 'rows' && answer.rows[0]).toEqual('new')
@@ -211,7 +211,7 @@
     await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       for (const server of [A, B]) {
-        fixture.dialer.cut(server)
+        fixture.dialer.closeConnections(server)
         fixture.group.server(server).connections = 25
       }
       const caller = await fixture.caller(host, 'bounded')
@@ -228,13 +228,13 @@
     await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const caller = await fixture.caller(host, 'own')
-      for (const id of [A, B]) fixture.group.server(id).isDeaf = true
+      for (const id of [A, B]) fixture.group.server(id).isReplicationBlocked = true
       const outcomes: string[] = []
       for (let count = 0; count < 20; count += 1) outcomes.push(await caller.outcomeOf('write 1'))
       const unknown = outcomes.filter(outcome => outcome === 'outcomeUnknown').length
       const unrun = outcomes.filter(outcome => outcome === 'notRun').length
       expect([unknown <= 3, unknown + unrun]).toEqual([true, 20])
-      for (const id of [A, B]) fixture.group.server(id).isDeaf = false
+      for (const id of [A, B]) fixture.group.server(id).isReplicationBlocked = false
       await new Promise(resolve => setTimeout(resolve, 300))
       expect(await caller.outcomeOf('write 1')).toEqual('done')
     })
@@ -248,7 +248,7 @@
       if (host === undefined) return
       const caller = await fixture.caller(host, 'own')
       expect(await caller.outcomeOf('write 1')).toEqual('done')
-      fixture.dialer.cut(P)
+      fixture.dialer.closeConnections(P)
       const server = fixture.group.server(P)
       server.connections = fixture.group.connectionLimit
       await new Promise(resolve => setTimeout(resolve, 400))
--- a/packages/host/__tests__/support/hostFixture.ts
+++ b/packages/host/__tests__/support/hostFixture.ts
@@ -234,7 +234,7 @@
   /** Stops a server's process and closes its connections. */
   crash(server: BackendServerId): void {
     this.group.server(server).isDown = true
-    this.dialer.cut(server)
+    this.dialer.closeConnections(server)
   }
 
   async caller(host: FixtureHost, database: string, key?: string): Promise<Caller> {
--- a/packages/soak/src/consistencyChecker.ts
+++ b/packages/soak/src/consistencyChecker.ts
@@ -131,9 +131,9 @@
     const held = new Set<string>()
     for (const group of this.#groups.values()) {
       this.findings.push(...group.violations)
-      for (const id of group.doubled) this.#report(`write ${id} was applied twice`)
-      for (const { id } of group.leader?.log ?? []) held.add(id)
-      if (group.leader === null)
+      for (const id of group.duplicateWrites) this.#report(`write ${id} was applied twice`)
+      for (const { id } of group.currentPrimary?.log ?? []) held.add(id)
+      if (group.currentPrimary === null)
         this.#report(`${group.service} has no primary at the end of the run`)
     }
     for (const id of this.#acknowledgedIds.keys()) {
--- a/packages/soak/src/faultInjector.ts
+++ b/packages/soak/src/faultInjector.ts
@@ -95,13 +95,13 @@
         return
       case 'serverCrashed':
         this.#fleet.groupOf(fault.server).crash(this.#server(fault.server))
-        this.#fleet.dialer.cut(backendServerId(fault.server))
+        this.#fleet.dialer.closeConnections(backendServerId(fault.server))
         return
       case 'serverSilent':
         this.#server(fault.server).isSilent = true
         return
       case 'replicaDeaf':
-        this.#server(fault.server).isDeaf = true
+        this.#server(fault.server).isReplicationBlocked = true
         return
       case 'serverLeaves':
         this.#fleet.updateServerEntry(fault.server, true)
@@ -144,16 +144,16 @@
         relay.cut({ from: [fault.from], to: [fault.host], cut: false, oneWay: false })
         return
       case 'serverCrashed':
-        this.#fleet.groupOf(fault.server).comeBack(this.#server(fault.server))
+        this.#fleet.groupOf(fault.server).recover(this.#server(fault.server))
         return
       case 'serverSilent': {
         const server = this.#server(fault.server)
         server.isSilent = false
-        this.#fleet.groupOf(fault.server).comeBack(server)
+        this.#fleet.groupOf(fault.server).recover(server)
         return
       }
       case 'replicaDeaf':
-        this.#server(fault.server).isDeaf = false
+        this.#server(fault.server).isReplicationBlocked = false
         return
       case 'serverLeaves':
         this.#fleet.updateServerEntry(fault.server, false)
--- a/packages/soak/src/hostProcess.ts
+++ b/packages/soak/src/hostProcess.ts
@@ -3,7 +3,7 @@
 import { closeSync, openSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
 import { setTimeout as delay } from 'node:timers/promises'
-import { readinessOf } from '@nutmegcourse/platform/standIns'
+import { probeReadiness } from '@nutmegcourse/platform/standIns'
 
 const READY_TIMEOUT_MILLISECONDS = 30_000
 const READINESS_POLL_MILLISECONDS = 50
@@ -93,7 +93,7 @@
   async waitUntilReady(): Promise<boolean> {
     const deadline = performance.now() + READY_TIMEOUT_MILLISECONDS
     while (performance.now() < deadline) {
-      if ((await readinessOf(this.plan.readinessPort)) === 200) {
+      if ((await probeReadiness(this.plan.readinessPort)) === 200) {
         this.#hasBecomeReady = true
         return true
       }
--- a/packages/soak/src/soakCaller.ts
+++ b/packages/soak/src/soakCaller.ts
@@ -81,7 +81,7 @@
     const session = await this.#openSession(host, service, 'own')
     if (session === null) return false
     const isDone = await this.#write(session)
-    session.wire.leave()
+    session.wire.terminate()
     return isDone
   }
 
@@ -93,7 +93,10 @@
 
   async #openSession(host: string, service: string, guarantee: Guarantee): Promise<Session | null> {
     const wire = new WireCaller(this.#fleet.callerPorts.get(host) ?? 0)
-    const isAccepted = await this.#withTimeout(wire, wire.begin(databaseName(service, guarantee)))
+    const isAccepted = await this.#withTimeout(
+      wire,
+      wire.startSession(databaseName(service, guarantee)),
+    )
     if (isAccepted === true) return { wire, host, service, guarantee, ownPosition: null }
     wire.destroy()
     return null
@@ -108,7 +111,7 @@
       else await this.#read(session)
       await delay(THINK_MILLISECONDS * 2 * this.#random.next())
     }
-    session.wire.leave()
+    session.wire.terminate()
   }
 
   async #read(session: Session): Promise<void> {
--- a/packages/soak/src/soakFleet.ts
+++ b/packages/soak/src/soakFleet.ts
@@ -166,7 +166,7 @@
     for (const server of group.servers.values()) {
       const listener = await serveBackend(this.dialer, group, server.id)
       this.#closeCallbacks.push(() => listener.close())
-      this.relay.target(server.id, portOf(listener))
+      this.relay.setTarget(server.id, portOf(listener))
       const entry: BackendServerEntry = {
         server: server.id,
         service: group.service,
@@ -196,16 +196,16 @@
       listener.closeAllConnections()
       listener.close()
     })
-    this.relay.target(`${STORE} of ${name}`, portOf(listener))
-    const store = await this.relay.open({
+    this.relay.setTarget(`${STORE} of ${name}`, portOf(listener))
+    const store = await this.relay.addLink({
       sourceZone: name,
       targetZone: STORE,
       target: `${STORE} of ${name}`,
     })
     const [callers = 0, readiness = 0, internal = 0] = ports
-    this.relay.target(name, callers)
+    this.relay.setTarget(name, callers)
     const link = { sourceZone: CALLERS, targetZone: name, target: name }
-    this.callerPorts.set(name, await this.relay.open(link))
+    this.callerPorts.set(name, await this.relay.addLink(link))
     const address = (port: number) => ({ host: '127.0.0.1', port })
     const host = new HostProcess({
       name,
@@ -234,7 +234,7 @@
     for (const group of this.groups) {
       for (const server of group.servers.keys()) {
         const link = { sourceZone: host, targetZone: server, target: server }
-        ports.set(server, await this.relay.open(link))
+        ports.set(server, await this.relay.addLink(link))
       }
     }
     return ports
--- a/packages/stand-ins/src/hostPlatform/memoryGroup.ts
+++ b/packages/stand-ins/src/hostPlatform/memoryGroup.ts
@@ -27,7 +27,7 @@
   /** The term for which replication to this server is paused; 0 when it is not paused. */
   pausedFor: number
   /** Fault: the server receives no replicated writes although it is not paused. */
-  isDeaf: boolean
+  isReplicationBlocked: boolean
   /** Fault: the server refuses connections. */
   isDown: boolean
   /** Fault: the server does not answer and keeps connections open. */
@@ -60,7 +60,7 @@
   /** Violations of the platform's contract, one message each. */
   readonly violations: string[] = []
   /** Ids of writes that occur more than once in one log. */
-  readonly doubled: string[] = []
+  readonly duplicateWrites: string[] = []
   readonly #positions = new Map<string, LogPosition>()
   promotions = 0
 
@@ -76,7 +76,7 @@
         log: [],
         term: 1,
         pausedFor: 0,
-        isDeaf: false,
+        isReplicationBlocked: false,
         isDown: false,
         isSilent: false,
         connections: 0,
@@ -85,13 +85,13 @@
   }
 
   get primary(): MemoryServer {
-    const primary = this.leader
+    const primary = this.currentPrimary
     if (primary === null) throw new Error('the group has no primary')
     return primary
   }
 
   /** Null between a step-down and the next promotion. */
-  get leader(): MemoryServer | null {
+  get currentPrimary(): MemoryServer | null {
     return [...this.servers.values()].find(server => server.role === 'primary') ?? null
   }
 
@@ -112,13 +112,13 @@
     const writes = ids.map(id => ({ id, position }))
     server.log.push(...writes)
     for (const { id } of writes) {
-      if (this.#positions.has(id) && this.#isDuplicate(server, id)) this.doubled.push(id)
+      if (this.#positions.has(id) && this.#isDuplicate(server, id)) this.duplicateWrites.push(id)
       this.#positions.set(id, position)
     }
     let isReplicated = false
     for (const other of this.servers.values()) {
       if (other === server || other.isDown || other.isSilent) continue
-      if (other.pausedFor !== 0 || other.isDeaf) continue
+      if (other.pausedFor !== 0 || other.isReplicationBlocked) continue
       this.#replicate(other, server, writes.length)
       isReplicated = true
     }
@@ -137,11 +137,11 @@
   }
 
   /** Restarts a crashed server with its log; a replica takes the log of the current primary, if any. */
-  comeBack(server: MemoryServer): void {
+  recover(server: MemoryServer): void {
     if (server.isDown) server.pausedFor = 0
     server.isDown = false
     if (server.role === 'primary') return
-    const { leader } = this
+    const { currentPrimary: leader } = this
     if (leader === null) return
     server.log = [...leader.log]
     server.term = leader.term
--- a/packages/stand-ins/src/hostPlatform/memoryLink.ts
+++ b/packages/stand-ins/src/hostPlatform/memoryLink.ts
@@ -308,7 +308,7 @@
   }
 
   /** Closes every connection to a server, as a crash of the server does. */
-  cut(server: BackendServerId): void {
+  closeConnections(server: BackendServerId): void {
     for (const link of this.links) if (link.server === server) link.close()
   }
 }
--- a/packages/stand-ins/src/relay/relay.ts
+++ b/packages/stand-ins/src/relay/relay.ts
@@ -74,10 +74,10 @@
       this.#controlSockets.add(socket)
       socket.once('close', () => this.#controlSockets.delete(socket))
       new JsonRpcConnection(socket, {
-        'relay.link': async params => ({ port: await this.open(linkSchema.parse(params)) }),
+        'relay.link': async params => ({ port: await this.addLink(linkSchema.parse(params)) }),
         'relay.target': params => {
           const { target, port: targetPort } = targetSchema.parse(params)
-          this.target(target, targetPort)
+          this.setTarget(target, targetPort)
           return {}
         },
         'relay.cut': params => {
@@ -103,7 +103,7 @@
   }
 
   /** Opens a port by which a zone reaches a target. */
-  async open(link: Link): Promise<number> {
+  async addLink(link: Link): Promise<number> {
     const server = createServer({ noDelay: true, allowHalfOpen: true }, socket => {
       this.#accept(link, socket)
     })
@@ -114,7 +114,7 @@
   }
 
   /** Sets the port on which a target listens. */
-  target(name: string, port: number): void {
+  setTarget(name: string, port: number): void {
     this.#targets.set(name, port)
   }
 
