--- a/packages/agent/__tests__/watchPace.spec.ts
+++ b/packages/agent/__tests__/watchTiming.spec.ts
@@ -1,10 +1,10 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { watchPace } from '../src/watchPace.js'
+import { watchTiming } from '../src/watchTiming.js'
 
 const SETTINGS = { watchIntervalMilliseconds: 100, detectionMilliseconds: 400 }
 
-describe('watchPace', () => {
+describe('watchTiming', () => {
   const cases = [
     { servers: 0, hosts: 6, interval: 100, detection: 400 },
     { servers: 3, hosts: 6, interval: 100, detection: 400 },
@@ -15,8 +15,8 @@
     { servers: 18, hosts: 1500, interval: 800, detection: 2000 },
   ]
   for (const { servers, hosts, interval, detection } of cases) {
-    it(`asks ${servers} servers every ${interval} ms in a fleet of ${hosts}`, () => {
-      expect(watchPace(SETTINGS, servers, hosts)).toEqual({
+    it(`queries ${servers} servers every ${interval} ms in a fleet of ${hosts} hosts`, () => {
+      expect(watchTiming(SETTINGS, servers, hosts)).toEqual({
         watchIntervalMilliseconds: interval,
         detectionMilliseconds: detection,
       })
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -1,4 +1,4 @@
-/** One entry host's agent: puts the tasks together and passes what one learns to the others. */
+/** The agent of one entry host: creates its components and passes events between them. */
 import type { Server } from 'node:net'
 import {
   WatcherPlan,
@@ -34,34 +34,34 @@
 import { HostListPoll } from './hostListPoll.js'
 import { KnownHosts } from './knownHosts.js'
 import { ProxyServer } from './proxyServer.js'
-import { describeStatus, describeUsage, type ReportedParts } from './agentReport.js'
+import { describeStatus, describeUsage, type ReportSources } from './agentReport.js'
 import { buildSnapshot } from './routingSnapshot.js'
 import { Coalescer } from './coalescer.js'
 import { StoreFollower } from './storeFollower.js'
 import { toolHandlers } from './toolHandlers.js'
-import { WatchBoard } from './watchBoard.js'
-import { watchPace, type WatchPace } from './watchPace.js'
+import { WatchManager } from './watchManager.js'
+import { watchTiming, type WatchTiming } from './watchTiming.js'
 
-/** Makes the failover machine of one database. */
+/** Creates the failover state machine of one database. */
 export type MachineFactory = (
   database: DatabaseId,
   self: Watcher,
-  pace: WatchPace,
+  timing: WatchTiming,
 ) => FailoverMachine
 
-/** Changes that come together, as when a zone fails, are planned and published together. */
+/** Changes that arrive together, as when a zone fails, are handled in one plan and one snapshot. */
 const PLAN_DELAY_MILLISECONDS = 50
 const SNAPSHOT_DELAY_MILLISECONDS = 2
-/** Time for the word that this host stops to reach its neighbours. */
-const FAREWELL_MILLISECONDS = 200
-/** In each zone so many hosts follow the store for all: one may fail or be frozen unnoticed. */
+/** Time for the message that this host leaves to reach its neighbours. */
+const LEAVE_GRACE_MILLISECONDS = 200
+/** Hosts per zone that watch the store for the others. With two, one may fail or stall without notice. */
 const STORE_FOLLOWERS_PER_ZONE = 2
-/** A host whose targets nobody confirms for so long follows the store itself. */
-const FOLLOW_ALONE_AFTER_MILLISECONDS = 5000
+/** A host whose targets have not been confirmed for this long watches the store itself. */
+const FOLLOW_UNCONFIRMED_AFTER_MILLISECONDS = 5000
 const FOLLOW_CHECK_MILLISECONDS = 1000
-/** In a large fleet a host that begins gets the state from a neighbour, not from the store. */
+/** In a fleet of more hosts than this, a host that starts gets the state from a neighbour, not the store. */
 const LARGE_FLEET_HOSTS = 12
-const PEERS_FIRST_MILLISECONDS = 3000
+const PEER_STATE_WAIT_MILLISECONDS = 3000
 
 export class Agent {
   readonly #settings: AgentSettings
@@ -76,7 +76,7 @@
   readonly #follower: StoreFollower
   readonly #proxies: ProxyServer
   readonly #events: EventLog
-  readonly #board: WatchBoard
+  readonly #watchManager: WatchManager
   readonly #plan = new Coalescer(PLAN_DELAY_MILLISECONDS, () => {
     this.#planWatches()
   })
@@ -87,7 +87,7 @@
   #server: Server | null = null
   #followCheck: NodeJS.Timeout | undefined
   #sequence = 0
-  #publishedHolders = 0
+  #publishedHolderCount = 0
   #startedAt: Milliseconds = this.#clock.now()
 
   constructor(settings: AgentSettings, log: Log, metrics: Metrics, makeMachine: MachineFactory) {
@@ -105,7 +105,7 @@
       zone: settings.zone,
       intervalMilliseconds: settings.hostListIntervalMilliseconds,
       onChange: hosts => {
-        this.#hostsListed(hosts)
+        this.#hostListChanged(hosts)
       },
     })
     this.#follower = new StoreFollower(this.#store, this.#clock, {
@@ -113,30 +113,30 @@
         this.#fleet?.learn(item)
       },
       targetsRead: (document, revision, askedAt) => {
-        this.#fleet?.tellConfiguration({ kind: 'storeAnswered', document, revision, askedAt })
+        this.#fleet?.handleConfiguration({ kind: 'storeAnswered', document, revision, askedAt })
       },
-      unreadable: key => {
-        log.error('a value of the store can not be read', { key })
+      valueUnreadable: key => {
+        log.error('unreadable value in the store', { key })
       },
     })
     this.#proxies = new ProxyServer(report => {
-      this.#proxyReported(report)
+      this.#logProxyReport(report)
     })
     this.#events = new EventLog(settings.entryHost)
-    this.#board = new WatchBoard({
+    this.#watchManager = new WatchManager({
       self: settings.entryHost,
-      startWatch: (database, pace) => this.#startWatch(database, pace),
-      paceFor: servers => watchPace(settings, servers, this.#hosts.entryHosts.length),
+      startWatch: (database, timing) => this.#startWatch(database, timing),
+      timingFor: servers => watchTiming(settings, servers, this.#hosts.entryHosts.length),
       recordOf: database => this.#recordOf(database),
-      onPartners: partners => {
+      onPartnersChange: partners => {
         this.#fleet?.setPartners(partners)
       },
     })
   }
 
   async start(): Promise<{ readonly listen: number; readonly proxyListen: number }> {
-    const { listen: place, proxyListen } = this.#settings
-    const listening = await listen(place.address, place.port, socket => {
+    const { listen: endpoint, proxyListen } = this.#settings
+    const listening = await listen(endpoint.address, endpoint.port, socket => {
       this.#fleet?.network.accept(socket)
     })
     this.#server = listening.server
@@ -152,14 +152,14 @@
   async stop(): Promise<void> {
     clearInterval(this.#followCheck)
     this.#poll.close()
-    this.#board.close()
+    this.#watchManager.close()
     this.#fleet?.leave()
     await new Promise(resolve => {
-      setTimeout(resolve, FAREWELL_MILLISECONDS)
+      setTimeout(resolve, LEAVE_GRACE_MILLISECONDS)
     })
     this.#plan.close()
     this.#publication.close()
-    this.#follower.follow(false)
+    this.#follower.setFollowing(false)
     this.#fleet?.close()
     this.#proxies.close()
     this.#server?.close()
@@ -168,20 +168,20 @@
     this.#metrics.close()
   }
 
-  /** What this agent costs, for operators and measurements. */
+  /** Resource usage of this agent, for operators and benchmarks. */
   usage(): AgentUsageResult {
-    return describeUsage(this.#reported)
+    return describeUsage(this.#reportSources)
   }
 
   status(): AgentStatusResult {
-    return describeStatus(this.#reported, this.#clock.now())
+    return describeStatus(this.#reportSources, this.#clock.now())
   }
 
-  get #reported(): ReportedParts {
+  get #reportSources(): ReportSources {
     return {
       settings: this.#settings,
       fleet: this.#fleet,
-      watched: this.#board.watched,
+      watched: this.#watchManager.watched,
       groups: this.#groupRecords(),
       store: this.#store,
       hostList: this.#hostList,
@@ -192,15 +192,21 @@
   }
 
   #startFleet(port: number): FleetTask {
-    const { entryHost, zone, region, listen: place, heartbeatIntervalMilliseconds } = this.#settings
+    const {
+      entryHost,
+      zone,
+      region,
+      listen: endpoint,
+      heartbeatIntervalMilliseconds,
+    } = this.#settings
     const self: Member = {
       entryHost,
       zone,
       region,
-      address: place.address,
+      address: endpoint.address,
       port,
-      // Hosts keep nothing, so a new life takes the time as its number; a clock that went back is
-      // made up for when the fleet's older word about this host arrives and is refuted.
+      // Hosts store nothing locally, so the start time serves as the incarnation. If the clock went back,
+      // the fleet still gossips a state of this host with a higher one, which is refuted when it arrives.
       incarnation: incarnation(Date.now()),
       status: 'alive',
     }
@@ -226,17 +232,17 @@
           this.#metrics.count('membership.changed', { change })
           this.#log.info('membership changed', { change, host })
           this.#plan.request()
-          this.#holdersMayChange()
+          this.#publishIfHoldersChanged()
         },
         confirmationChanged: confirmed => {
-          if (!confirmed) this.#log.warn('can not confirm that the targets are the newest')
+          if (!confirmed) this.#log.warn('targets can no longer be confirmed as the newest')
           this.#publication.request()
         },
-        opinionHeard: opinion => {
-          this.#board.opinionHeard(opinion)
+        opinionReceived: opinion => {
+          this.#watchManager.opinionReceived(opinion)
         },
         repairTargets: (document, expectedRevision) => {
-          this.#log.warn('the store holds older targets; putting the newest back', {
+          this.#log.warn('the store holds older targets; restoring the newest', {
             version: document.version,
           })
           return restoreTargets(this.#store, document, expectedRevision)
@@ -247,9 +253,9 @@
     return fleet
   }
 
-  #hostsListed(hosts: readonly ListedHost[]): void {
+  #hostListChanged(hosts: readonly ListedHost[]): void {
     this.#hosts.setList(hosts)
-    this.#fleet?.tellMembership({ kind: 'hostList', hosts: this.#hosts.entryHosts })
+    this.#fleet?.handleMembership({ kind: 'hostList', hosts: this.#hosts.entryHosts })
     this.#plan.request()
     this.#publication.request()
   }
@@ -264,7 +270,7 @@
         this.#plan.request()
         break
       case 'group':
-        this.#board.recordChanged(item.record, item.revision)
+        this.#watchManager.recordChanged(item.record, item.revision)
         break
       case 'member':
         return
@@ -275,12 +281,12 @@
   }
 
   /**
-   * A host that listens to nobody else's word must read the store itself; all of 1,500 doing so
-   * would spend the store's reads on waiting.
+   * Rechecks periodically whether this host watches the store. A host that receives the state from no
+   * other host must watch it; if all of 1,500 hosts did, their long polls would use up the store's reads.
    */
   #checkFollowing(): void {
     const check = (): void => {
-      this.#follower.follow(this.#shouldFollow())
+      this.#follower.setFollowing(this.#shouldFollow())
     }
     check()
     this.#followCheck = setInterval(check, FOLLOW_CHECK_MILLISECONDS)
@@ -291,9 +297,9 @@
     if (fleet === null) return false
     const now = this.#clock.now()
     const isLarge = this.#hosts.entryHosts.length > LARGE_FLEET_HOSTS
-    if (isLarge && now - this.#startedAt < PEERS_FIRST_MILLISECONDS) return false
+    if (isLarge && now - this.#startedAt < PEER_STATE_WAIT_MILLISECONDS) return false
     const age = fleet.configuration.confirmationAge(now)
-    if (age === null || age > FOLLOW_ALONE_AFTER_MILLISECONDS) return true
+    if (age === null || age > FOLLOW_UNCONFIRMED_AFTER_MILLISECONDS) return true
     const { zone, region, entryHost } = this.#settings
     const inZone = fleet.membership.workers(now).filter(host => host.zone === zone)
     const plan = new WatcherPlan(inZone, STORE_FOLLOWERS_PER_ZONE)
@@ -304,21 +310,21 @@
   #planWatches(): void {
     if (this.#fleet === null) return
     const workers = this.#fleet.membership.workers(this.#clock.now())
-    this.#board.plan(workers, this.#hosts.byDatabase)
+    this.#watchManager.plan(workers, this.#hosts.byDatabase)
   }
 
-  #startWatch(database: DatabaseId, pace: WatchPace): DatabaseWatch {
+  #startWatch(database: DatabaseId, timing: WatchTiming): DatabaseWatch {
     const { entryHost, zone, region, backendUser } = this.#settings
     const self = { entryHost, zone, region }
     return new DatabaseWatch({
       database,
-      machine: this.#makeMachine(database, self, pace),
+      machine: this.#makeMachine(database, self, timing),
       records: new GroupRecordStore(this.#store),
       clock: this.#clock,
       backendUser,
       listener: {
         opinionFormed: opinion => {
-          for (const partner of this.#board.partnersOf(database)) {
+          for (const partner of this.#watchManager.partnersOf(database)) {
             this.#fleet?.network.notify(partner, 'peer.opinion', opinion)
           }
         },
@@ -326,13 +332,13 @@
           this.#fleet?.learn({ kind: 'group', record, revision })
         },
         eventHappened: event => {
-          this.#failoverEvent(event)
+          this.#recordFailoverEvent(event)
         },
       },
     })
   }
 
-  #failoverEvent(event: FailoverEvent): void {
+  #recordFailoverEvent(event: FailoverEvent): void {
     this.#events.add(event)
     const { database, step, term, detail } = event
     this.#log.info('failover', { database, step, term, detail })
@@ -341,30 +347,33 @@
   }
 
   #recordOf(database: DatabaseId) {
-    const item = this.#fleet?.news.get(`group/${database}`)
+    const item = this.#fleet?.gossip.get(`group/${database}`)
     return item?.kind === 'group' ? { record: item.record, revision: item.revision } : null
   }
 
   #groupRecords(): AgentStatusResult['groups'] {
-    const items = [...(this.#fleet?.news.items() ?? [])]
+    const items = [...(this.#fleet?.gossip.items() ?? [])]
     return items.flatMap(item => (item.kind === 'group' ? [item.record] : []))
   }
 
-  /** Proxies need nothing else of membership; a snapshot of a large fleet is worth sparing. */
-  #holdersMayChange(): void {
+  /**
+   * The number of connection holders is all that proxies need of the membership. Snapshots of a large
+   * fleet are costly, so other membership changes publish none.
+   */
+  #publishIfHoldersChanged(): void {
     const holders = this.#fleet?.membership.connectionHolders() ?? 0
-    if (holders === this.#publishedHolders) return
+    if (holders === this.#publishedHolderCount) return
     this.#publication.request()
   }
 
-  #proxyReported(report: ProxyReport): void {
-    this.#log.debug('a proxy reports', { ...report })
+  #logProxyReport(report: ProxyReport): void {
+    this.#log.debug('proxy report received', { ...report })
   }
 
   #publish(): void {
     if (this.#fleet === null) return
     this.#sequence += 1
-    this.#publishedHolders = this.#fleet.membership.connectionHolders()
+    this.#publishedHolderCount = this.#fleet.membership.connectionHolders()
     this.#proxies.publish(
       buildSnapshot({
         sequence: this.#sequence,
@@ -373,7 +382,7 @@
         configuration: this.#fleet.configuration,
         records: this.#groupRecords(),
         hosts: this.#hosts,
-        entryHostCount: this.#publishedHolders,
+        entryHostCount: this.#publishedHolderCount,
       }),
     )
   }
--- a/packages/agent/src/agentReport.ts
+++ b/packages/agent/src/agentReport.ts
@@ -1,11 +1,11 @@
-/** What one agent tells of itself: to operators, and to whoever measures its cost. */
+/** The status and resource usage that an agent reports to operators and benchmarks. */
 import type { AgentStatusResult, AgentUsageResult, ControlTraffic } from '@nutmegcourse/protocol'
 import type { AgentSettings } from '@nutmegcourse/settings'
 import type { Milliseconds } from '@nutmegcourse/shared'
 import type { HostListClient, StoreClient } from '@nutmegcourse/transport'
 import type { FleetTask } from './fleetTask.js'
 
-export interface ReportedParts {
+export interface ReportSources {
   readonly settings: AgentSettings
   /** Null until the agent has started. */
   readonly fleet: FleetTask | null
@@ -20,8 +20,8 @@
 
 const NO_TRAFFIC = { sent: 0, received: 0 }
 
-export function describeUsage(parts: ReportedParts): AgentUsageResult {
-  const { fleet, groups, watched, counters } = parts
+export function describeUsage(sources: ReportSources): AgentUsageResult {
+  const { fleet, groups, watched, counters } = sources
   const { user, system } = process.cpuUsage()
   return {
     hosts: fleet?.membership.members().length ?? 0,
@@ -32,14 +32,14 @@
     processorMicroseconds: user + system,
     residentBytes: process.memoryUsage.rss(),
     counters,
-    traffic: describeTraffic(parts),
+    traffic: describeTraffic(sources),
   }
 }
 
-export function describeStatus(parts: ReportedParts, now: Milliseconds): AgentStatusResult {
-  const { fleet, groups, watched, counters, proxies, storeReachable } = parts
-  const { entryHost, zone, region } = parts.settings
-  const drains = fleet?.news.get('drains')
+export function describeStatus(sources: ReportSources, now: Milliseconds): AgentStatusResult {
+  const { fleet, groups, watched, counters, proxies, storeReachable } = sources
+  const { entryHost, zone, region } = sources.settings
+  const drains = fleet?.gossip.get('drains')
   return {
     entryHost,
     zone,
@@ -55,11 +55,11 @@
     proxies,
     peers: fleet?.network.linkedPeers ?? [],
     counters,
-    traffic: describeTraffic(parts),
+    traffic: describeTraffic(sources),
   }
 }
 
-function describeTraffic({ fleet, store, hostList }: ReportedParts): ControlTraffic {
+function describeTraffic({ fleet, store, hostList }: ReportSources): ControlTraffic {
   return {
     peers: fleet?.network.traffic ?? NO_TRAFFIC,
     store: store.traffic,
--- a/packages/agent/src/coalescer.ts
+++ b/packages/agent/src/coalescer.ts
@@ -1,4 +1,4 @@
-/** Runs an action once for all requests of a short while. */
+/** Runs an action once for all requests that arrive within a delay. */
 export class Coalescer {
   readonly #delayMilliseconds: number
   readonly #action: () => void
--- a/packages/agent/src/configurationStore.ts
+++ b/packages/agent/src/configurationStore.ts
@@ -1,4 +1,4 @@
-/** The operators' documents in the platform's store, read with care: anything may stand there. */
+/** The operators' documents in the platform's store. Values are validated, as a key may hold anything. */
 import {
   DRAINS_KEY,
   TARGETS_KEY,
@@ -24,7 +24,7 @@
   backendServers: z.array(z.string().transform(backendServerId)),
 })
 
-/** Null when the value is no accepted targets document. */
+/** Null when the value is not a valid targets document. */
 export function readTargetsDocument(stored: StoredValue): VersionedTargets | null {
   if (stored.key !== TARGETS_KEY) return null
   const envelope = envelopeSchema.safeParse(stored.value)
@@ -33,14 +33,14 @@
   return targets.isErr() ? null : { ...envelope.data, targets: targets.value }
 }
 
-/** Null when the value is no list of drains. */
+/** Null when the value is not a valid list of drains. */
 export function readDrains(stored: StoredValue): DrainList | null {
   if (stored.key !== DRAINS_KEY) return null
   const drains = drainsSchema.safeParse(stored.value)
   return drains.success ? drains.data : null
 }
 
-/** Puts a document that the store lost back. What came of it shows at the next read. */
+/** Writes back a document that the store lost. The next read shows whether it took effect. */
 export async function restoreTargets(
   store: StoreClient,
   document: VersionedTargets,
--- a/packages/agent/src/databaseWatch.ts
+++ b/packages/agent/src/databaseWatch.ts
@@ -1,5 +1,5 @@
 /**
- * Watches one database: runs its failover machine, carries out what it asks for, and reports back.
+ * Watches one database: runs its failover state machine, executes the effects and feeds back the results.
  * Owns the control connections to the database's backend servers.
  */
 import type {
@@ -22,14 +22,14 @@
 import type { GroupRecordStore } from './groupRecordStore.js'
 import { ServerLink } from './serverLink.js'
 
-/** What a watch tells the rest of the agent. */
+/** Events that a watch reports to the agent. */
 export interface DatabaseWatchListener {
   opinionFormed(opinion: WatcherOpinion): void
   recordAnnounced(record: GroupRecord, revision: number): void
   eventHappened(event: FailoverEvent): void
 }
 
-export interface DatabaseWatchParts {
+export interface DatabaseWatchOptions {
   readonly database: DatabaseId
   readonly machine: FailoverMachine
   readonly records: GroupRecordStore
@@ -40,32 +40,32 @@
 
 type ControlEffect = Extract<FailoverEffect, { kind: 'fence' | 'promote' | 'follow' }>
 
-/** Timers of Node fire up to a millisecond early; a wake is never due before its time. */
+/** Node timers may fire up to a millisecond early; added so that a tick is never early. */
 const TIMER_SLACK_MILLISECONDS = 1
 export class DatabaseWatch {
-  readonly #parts: DatabaseWatchParts
+  readonly #options: DatabaseWatchOptions
   readonly #links = new Map<BackendServerId, ServerLink>()
   #timer: NodeJS.Timeout | undefined
   #closed = false
 
-  constructor(parts: DatabaseWatchParts) {
-    this.#parts = parts
+  constructor(options: DatabaseWatchOptions) {
+    this.#options = options
   }
 
   get events(): readonly FailoverEvent[] {
-    return this.#parts.machine.events()
+    return this.#options.machine.events()
   }
 
-  /** Servers under watch, for `agent.status`. */
+  /** Number of watched servers, for `agent.status`. */
   get serverCount(): number {
     return this.#links.size
   }
 
   receive(message: FailoverMessage): void {
     if (this.#closed) return
-    if (message.kind === 'backendServers') this.#relink(message.servers)
-    for (const effect of this.#parts.machine.handle(message, this.#now())) this.#carryOut(effect)
-    this.#arm()
+    if (message.kind === 'backendServers') this.#updateLinks(message.servers)
+    for (const effect of this.#options.machine.handle(message, this.#now())) this.#execute(effect)
+    this.#scheduleWake()
   }
 
   close(): void {
@@ -76,13 +76,13 @@
   }
 
   #now(): Milliseconds {
-    return this.#parts.clock.now()
+    return this.#options.clock.now()
   }
 
-  #arm(): void {
+  #scheduleWake(): void {
     clearTimeout(this.#timer)
     const now = this.#now()
-    const wake = this.#parts.machine.nextWake(now)
+    const wake = this.#options.machine.nextWake(now)
     if (wake === null || this.#closed) return
     const wait = Math.max(0, Math.ceil(wake - now)) + TIMER_SLACK_MILLISECONDS
     this.#timer = setTimeout(() => {
@@ -90,17 +90,17 @@
     }, wait)
   }
 
-  #relink(servers: readonly ListedBackendServer[]): void {
+  #updateLinks(servers: readonly ListedBackendServer[]): void {
     const listed = new Map(servers.map(server => [server.id, server]))
     for (const [id, link] of this.#links) {
       const server = listed.get(id)
-      if (server !== undefined && isSamePlace(server, link.server)) continue
+      if (server !== undefined && isSameEndpoint(server, link.server)) continue
       link.close()
       this.#links.delete(id)
     }
     for (const server of servers) {
       if (this.#links.has(server.id)) continue
-      const link = new ServerLink(server, this.#parts.backendUser, () => {
+      const link = new ServerLink(server, this.#options.backendUser, () => {
         this.#connectionLost(server.id)
       })
       this.#links.set(server.id, link)
@@ -108,18 +108,18 @@
   }
 
   /**
-   * A process that dies closes its connections at once. Told so, the machine asks again right away
-   * and is refused, up to a watch interval earlier than its next question would find out.
+   * A process that dies closes its connections at once. On this message the state machine queries again
+   * immediately and is refused, up to one watch interval before its next regular query would fail.
    */
   #connectionLost(server: BackendServerId): void {
     this.receive({ kind: 'positionFailed', server, failure: 'lost', askedAt: this.#now() })
   }
 
-  #carryOut(effect: FailoverEffect): void {
-    const { listener, records, database } = this.#parts
+  #execute(effect: FailoverEffect): void {
+    const { listener, records, database } = this.#options
     switch (effect.kind) {
       case 'askPosition':
-        this.#askPosition(effect.server, effect.timeoutMilliseconds)
+        this.#queryPosition(effect.server, effect.timeoutMilliseconds)
         return
       case 'fence':
       case 'promote':
@@ -152,11 +152,11 @@
     }
   }
 
-  #askPosition(server: BackendServerId, timeoutMilliseconds: number): void {
+  #queryPosition(server: BackendServerId, timeoutMilliseconds: number): void {
     const askedAt = this.#now()
     const link = this.#links.get(server)
     if (link === undefined) {
-      // Answered later, as any server would: an answer within the question would ask again at once.
+      // Answered asynchronously, as by a server: a synchronous answer would trigger the next query at once.
       setImmediate(() => {
         this.receive({ kind: 'positionFailed', server, failure: 'lost', askedAt })
       })
@@ -211,6 +211,6 @@
   }
 }
 
-function isSamePlace(left: ListedBackendServer, right: ListedBackendServer): boolean {
+function isSameEndpoint(left: ListedBackendServer, right: ListedBackendServer): boolean {
   return left.address === right.address && left.port === right.port
 }
--- a/packages/agent/src/dialBackoff.ts
+++ b/packages/agent/src/dialBackoff.ts
@@ -1,29 +1,32 @@
-/** When a host that could not be reached may be tried again. */
+/** Exponential backoff for dialing hosts that could not be reached. */
 import type { EntryHostId, Milliseconds } from '@nutmegcourse/shared'
 
-const FIRST_WAIT_MILLISECONDS = 250
-const LONGEST_WAIT_MILLISECONDS = 4000
+const INITIAL_DELAY_MILLISECONDS = 250
+const MAX_DELAY_MILLISECONDS = 4000
 
-interface Wait {
+interface Backoff {
   readonly until: Milliseconds
-  readonly span: number
+  readonly delayMilliseconds: number
 }
 
 export class DialBackoff {
-  readonly #waits = new Map<EntryHostId, Wait>()
+  readonly #backoffs = new Map<EntryHostId, Backoff>()
 
-  mayTry(host: EntryHostId, now: Milliseconds): boolean {
-    const wait = this.#waits.get(host)
-    return wait === undefined || now >= wait.until
+  mayDial(host: EntryHostId, now: Milliseconds): boolean {
+    const backoff = this.#backoffs.get(host)
+    return backoff === undefined || now >= backoff.until
   }
 
   failed(host: EntryHostId, now: Milliseconds): void {
-    const former = this.#waits.get(host)?.span ?? FIRST_WAIT_MILLISECONDS / 2
-    const span = Math.min(former * 2, LONGEST_WAIT_MILLISECONDS)
-    this.#waits.set(host, { until: (now + span) as Milliseconds, span })
+    const previous = this.#backoffs.get(host)?.delayMilliseconds ?? INITIAL_DELAY_MILLISECONDS / 2
+    const delayMilliseconds = Math.min(previous * 2, MAX_DELAY_MILLISECONDS)
+    this.#backoffs.set(host, {
+      until: (now + delayMilliseconds) as Milliseconds,
+      delayMilliseconds,
+    })
   }
 
   succeeded(host: EntryHostId): void {
-    this.#waits.delete(host)
+    this.#backoffs.delete(host)
   }
 }
--- a/packages/agent/src/eventLog.ts
+++ b/packages/agent/src/eventLog.ts
@@ -1,9 +1,9 @@
-/** The last steps of changes of primary that this agent took part in, for `explain`. */
+/** The most recent steps of changes of primary in which this agent took part, for `explain`. */
 import type { FailoverEvent } from '@nutmegcourse/coordination'
 import type { ExplainedEvent } from '@nutmegcourse/protocol'
 import type { DatabaseId, EntryHostId } from '@nutmegcourse/shared'
 
-const KEPT_PER_DATABASE = 100
+const MAX_EVENTS_PER_DATABASE = 100
 
 export class EventLog {
   readonly #entryHost: EntryHostId
@@ -23,7 +23,7 @@
       term: event.term,
       detail: event.detail,
     })
-    if (events.length > KEPT_PER_DATABASE) events.shift()
+    if (events.length > MAX_EVENTS_PER_DATABASE) events.shift()
   }
 
   of(database: DatabaseId): readonly ExplainedEvent[] {
--- a/packages/agent/src/fleetTask.ts
+++ b/packages/agent/src/fleetTask.ts
@@ -1,6 +1,6 @@
 /**
- * This host's part in the fleet: runs the membership, news and configuration machines over the links
- * to other agents. Owns what this host knows; others read it here and are told of each change.
+ * Runs the membership, gossip and configuration state machines over the links to other agents. Owns
+ * their state; other components read it here and are notified of each change.
  */
 import {
   ConfigurationCore,
@@ -39,92 +39,92 @@
 import type { RpcHandlers } from '@nutmegcourse/transport'
 import { PeerNetwork } from './peerNetwork.js'
 
-const NEWS_TIMEOUT_MILLISECONDS = 5000
+const GOSSIP_TIMEOUT_MILLISECONDS = 5000
 const PROBE_TIMEOUT_MILLISECONDS = 500
-/** The helper's own attempts come first. */
+/** Leaves time for the helper's own attempts. */
 const PROBE_ANSWER_TIMEOUT_MILLISECONDS = 1400
 
 export interface FleetTaskListener {
-  /** Something newer is known. */
+  /** A newer version of the item was adopted. */
   itemChanged(item: GossipItem): void
-  /** Other hosts live, or others are listed. */
+  /** The set of live or listed hosts, or the known state of one, changed. */
   membershipChanged(change: string, host: EntryHostId): void
-  /** This host can confirm its targets again, or no longer. */
+  /** Whether this host can confirm its targets as the newest changed. */
   confirmationChanged(confirmed: boolean): void
-  opinionHeard(opinion: WatcherOpinion): void
-  /** The store should hold this; answers once that was tried. */
+  opinionReceived(opinion: WatcherOpinion): void
+  /** Writes the document to the store; resolves after the attempt, whether or not it succeeded. */
   repairTargets(document: VersionedTargets, expectedRevision: number): Promise<void>
 }
 
-export interface FleetTaskParts {
+export interface FleetTaskOptions {
   readonly self: Member
   readonly clock: Clock
   readonly random: RandomSource
   readonly heartbeatIntervalMilliseconds: number
-  /** Calls of operators' tools, served on the same port. */
+  /** Handlers for operators' tools, served on the same port. */
   readonly toolHandlers: RpcHandlers
   readonly listener: FleetTaskListener
 }
 
 export class FleetTask {
-  readonly news = new GossipCore()
+  readonly gossip = new GossipCore()
   readonly configuration = new ConfigurationCore()
   readonly membership: MembershipCore
   readonly network: PeerNetwork
-  readonly #parts: FleetTaskParts
+  readonly #options: FleetTaskOptions
   #neighbours: readonly EntryHostId[] = []
   #partners: readonly EntryHostId[] = []
   #intervals = 0
   #timers: readonly NodeJS.Timeout[] = []
 
-  constructor(parts: FleetTaskParts) {
-    this.#parts = parts
-    this.membership = new MembershipCore(parts.self, parts.random, parts.clock.now())
+  constructor(options: FleetTaskOptions) {
+    this.#options = options
+    this.membership = new MembershipCore(options.self, options.random, options.clock.now())
     this.network = new PeerNetwork({
-      clock: parts.clock,
+      clock: options.clock,
       hello: () => this.#hello(),
       ping: () => this.#ping(),
-      placeOf: host => this.membership.endpointOf(host),
+      endpointOf: host => this.membership.endpointOf(host),
       peerHandlers: peer => this.#peerHandlers(peer),
       listener: {
         linked: peer => {
-          this.#news({ kind: 'peerConnected', peer })
+          this.#handleGossip({ kind: 'peerConnected', peer })
         },
         lost: peer => {
-          this.#news({ kind: 'peerDisconnected', peer })
-          this.tellMembership({ kind: 'linkLost', peer })
+          this.#handleGossip({ kind: 'peerDisconnected', peer })
+          this.handleMembership({ kind: 'linkLost', peer })
         },
         unlinked: peer => {
-          this.#news({ kind: 'peerDisconnected', peer })
-          this.tellMembership({ kind: 'unlinked', peer })
+          this.#handleGossip({ kind: 'peerDisconnected', peer })
+          this.handleMembership({ kind: 'unlinked', peer })
         },
-        heard: peer => {
-          this.tellMembership({ kind: 'heard', peer })
+        messageReceived: peer => {
+          this.handleMembership({ kind: 'heard', peer })
         },
         pingAnswered: (peer, answer, askedAt) => {
-          this.#pingAnswered(peer, answer, askedAt)
+          this.#receivePingAnswer(peer, answer, askedAt)
         },
       },
     })
   }
 
   start(): void {
-    const { heartbeatIntervalMilliseconds, self } = this.#parts
+    const { heartbeatIntervalMilliseconds, self } = this.#options
     this.learn({ kind: 'member', member: self })
     this.#timers = [
       setInterval(() => {
         this.#heartbeat()
       }, heartbeatIntervalMilliseconds),
       setInterval(() => {
-        this.tellMembership({ kind: 'tick' })
-        this.tellConfiguration({ kind: 'tick' })
+        this.handleMembership({ kind: 'tick' })
+        this.handleConfiguration({ kind: 'tick' })
       }, heartbeatIntervalMilliseconds / 2),
     ]
   }
 
-  /** Tells the fleet that this host stops; `close` follows once that had time to leave. */
+  /** Announces to the fleet that this host stops. Call `close` after the message has had time to be sent. */
   leave(): void {
-    this.tellMembership({ kind: 'stop' })
+    this.handleMembership({ kind: 'stop' })
   }
 
   close(): void {
@@ -132,31 +132,31 @@
     this.network.close()
   }
 
-  /** Hosts that watch the same databases as this one: links to them stay open, opinions are urgent. */
+  /** Hosts that watch the same databases as this one. Links to them are kept open, as opinions are urgent. */
   setPartners(partners: readonly EntryHostId[]): void {
     this.#partners = partners
     this.#updateLinks()
   }
 
   learn(item: GossipItem): void {
-    this.#news({ kind: 'learned', item })
+    this.#handleGossip({ kind: 'learned', item })
   }
 
-  tellMembership(message: MembershipMessage): void {
-    const effects = this.membership.handle(message, this.#parts.clock.now())
-    for (const effect of effects) this.#carryOutMembership(effect)
+  handleMembership(message: MembershipMessage): void {
+    const effects = this.membership.handle(message, this.#options.clock.now())
+    for (const effect of effects) this.#executeMembershipEffect(effect)
   }
 
-  tellConfiguration(message: ConfigurationMessage): void {
-    const effects = this.configuration.handle(message, this.#parts.clock.now())
-    for (const effect of effects) this.#carryOutConfiguration(effect)
+  handleConfiguration(message: ConfigurationMessage): void {
+    const effects = this.configuration.handle(message, this.#options.clock.now())
+    for (const effect of effects) this.#executeConfigurationEffect(effect)
   }
 
-  #news(message: GossipMessage): void {
-    for (const effect of this.news.handle(message)) this.#carryOutNews(effect)
+  #handleGossip(message: GossipMessage): void {
+    for (const effect of this.gossip.handle(message)) this.#executeGossipEffect(effect)
   }
 
-  #carryOutMembership(effect: MembershipEffect): void {
+  #executeMembershipEffect(effect: MembershipEffect): void {
     switch (effect.kind) {
       case 'spread':
         this.learn({ kind: 'member', member: effect.member })
@@ -169,37 +169,37 @@
         this.#updateLinks()
         return
       case 'changed':
-        this.#parts.listener.membershipChanged(effect.change, effect.host)
+        this.#options.listener.membershipChanged(effect.change, effect.host)
         return
       case 'forget':
-        this.news.forget(`member/${effect.host}`)
+        this.gossip.forget(`member/${effect.host}`)
         return
       default:
         assertNever(effect)
     }
   }
 
-  #carryOutConfiguration(effect: ConfigurationEffect): void {
+  #executeConfigurationEffect(effect: ConfigurationEffect): void {
     switch (effect.kind) {
       case 'adopt':
         this.learn({ kind: 'targets', document: effect.document })
         return
       case 'repairStore':
-        void this.#parts.listener
+        void this.#options.listener
           .repairTargets(effect.document, effect.expectedRevision)
           .then(() => {
-            this.tellConfiguration({ kind: 'repairEnded' })
+            this.handleConfiguration({ kind: 'repairEnded' })
           })
         return
       case 'confirmationChanged':
-        this.#parts.listener.confirmationChanged(effect.confirmed)
+        this.#options.listener.confirmationChanged(effect.confirmed)
         return
       default:
         assertNever(effect)
     }
   }
 
-  #carryOutNews(effect: GossipEffect): void {
+  #executeGossipEffect(effect: GossipEffect): void {
     switch (effect.kind) {
       case 'changed':
         this.#itemChanged(effect.item)
@@ -220,10 +220,10 @@
 
   #itemChanged(item: GossipItem): void {
     if (item.kind === 'targets') {
-      this.tellConfiguration({ kind: 'learned', document: item.document })
+      this.handleConfiguration({ kind: 'learned', document: item.document })
     }
-    if (item.kind === 'member') this.tellMembership({ kind: 'news', member: item.member })
-    this.#parts.listener.itemChanged(item)
+    if (item.kind === 'member') this.handleMembership({ kind: 'news', member: item.member })
+    this.#options.listener.itemChanged(item)
   }
 
   #heartbeat(): void {
@@ -233,14 +233,19 @@
   }
 
   #updateLinks(): void {
-    this.network.want([...new Set([...this.#neighbours, ...this.#partners])])
+    this.network.setWantedPeers([...new Set([...this.#neighbours, ...this.#partners])])
   }
 
   async #sendBatch(peer: EntryHostId, items: readonly GossipItem[]): Promise<void> {
     const params: PeerGossipParams = { items }
-    const answer = await this.network.request(peer, 'peer.news', params, NEWS_TIMEOUT_MILLISECONDS)
-    if (answer.isOk()) this.#news({ kind: 'batchTaken', peer })
-    // What was in the batch is found again by the comparison that a fresh link begins with.
+    const answer = await this.network.request(
+      peer,
+      'peer.news',
+      params,
+      GOSSIP_TIMEOUT_MILLISECONDS,
+    )
+    if (answer.isOk()) this.#handleGossip({ kind: 'batchTaken', peer })
+    // The items of the batch are recovered by the comparison at the start of the next link.
     else this.network.drop(peer)
   }
 
@@ -250,10 +255,11 @@
       peer,
       'peer.compare',
       params,
-      NEWS_TIMEOUT_MILLISECONDS,
+      GOSSIP_TIMEOUT_MILLISECONDS,
     )
-    if (answer.isOk()) this.#news({ kind: 'compared', peer, versions: answer.value.versions })
-    else this.#news({ kind: 'compareFailed', peer })
+    if (answer.isOk())
+      this.#handleGossip({ kind: 'compared', peer, versions: answer.value.versions })
+    else this.#handleGossip({ kind: 'compareFailed', peer })
   }
 
   async #fetch(peer: EntryHostId, keys: readonly string[]): Promise<void> {
@@ -262,10 +268,10 @@
       peer,
       'peer.fetch',
       params,
-      NEWS_TIMEOUT_MILLISECONDS,
+      GOSSIP_TIMEOUT_MILLISECONDS,
     )
-    if (answer.isOk()) this.#news({ kind: 'fetched', peer, items: answer.value.items })
-    this.#news({ kind: 'fetchEnded', peer })
+    if (answer.isOk()) this.#handleGossip({ kind: 'fetched', peer, items: answer.value.items })
+    this.#handleGossip({ kind: 'fetchEnded', peer })
   }
 
   async #probe(helper: EntryHostId, subject: EntryHostId): Promise<void> {
@@ -277,14 +283,14 @@
       PROBE_ANSWER_TIMEOUT_MILLISECONDS,
     )
     const reached = answer.isOk() && answer.value.reached
-    this.tellMembership({ kind: 'probeAnswered', subject, reached })
+    this.handleMembership({ kind: 'probeAnswered', subject, reached })
   }
 
-  #pingAnswered(peer: EntryHostId, answer: PeerPingResult, askedAt: Milliseconds): void {
-    this.#news({ kind: 'rootHeard', peer, root: answer.root })
+  #receivePingAnswer(peer: EntryHostId, answer: PeerPingResult, askedAt: Milliseconds): void {
+    this.#handleGossip({ kind: 'rootHeard', peer, root: answer.root })
     if (answer.confirmation === null) return
     const { ageMilliseconds, ...name } = answer.confirmation
-    this.tellConfiguration({ kind: 'peerConfirmed', name, ageMilliseconds, askedAt })
+    this.handleConfiguration({ kind: 'peerConfirmed', name, ageMilliseconds, askedAt })
   }
 
   #hello(): PeerHello {
@@ -293,11 +299,11 @@
   }
 
   #ping(): PeerPingParams {
-    return { root: this.news.root }
+    return { root: this.gossip.root }
   }
 
   #answerPing(): PeerPingResult {
-    const now = this.#parts.clock.now()
+    const now = this.#options.clock.now()
     const { newest } = this.configuration
     const ageMilliseconds = this.configuration.confirmationAge(now)
     if (newest === null || ageMilliseconds === null) return { ...this.#ping(), confirmation: null }
@@ -308,29 +314,33 @@
 
   #peerHandlers(peerOf: () => EntryHostId | null): RpcHandlers {
     return {
-      ...this.#parts.toolHandlers,
+      ...this.#options.toolHandlers,
       'peer.identify': () => this.#hello(),
       'peer.ping': params => {
         const { root } = params as PeerPingParams
         const peer = peerOf()
         if (peer !== null) {
-          this.tellMembership({ kind: 'heard', peer })
-          this.#news({ kind: 'rootHeard', peer, root })
+          this.handleMembership({ kind: 'heard', peer })
+          this.#handleGossip({ kind: 'rootHeard', peer, root })
         }
         return this.#answerPing()
       },
       'peer.news': params => {
         const peer = peerOf()
         if (peer !== null) {
-          this.#news({ kind: 'batchReceived', peer, items: (params as PeerGossipParams).items })
+          this.#handleGossip({
+            kind: 'batchReceived',
+            peer,
+            items: (params as PeerGossipParams).items,
+          })
         }
         return null
       },
       'peer.compare': (params): PeerCompareResult => ({
-        versions: this.news.differingVersions((params as PeerCompareParams).buckets),
+        versions: this.gossip.differingVersions((params as PeerCompareParams).buckets),
       }),
       'peer.fetch': (params): PeerFetchResult => ({
-        items: this.news.itemsOf((params as PeerFetchParams).keys),
+        items: this.gossip.itemsOf((params as PeerFetchParams).keys),
       }),
       'peer.probe': async (params): Promise<PeerProbeResult> => ({
         reached: await this.network.reaches(
@@ -339,7 +349,7 @@
         ),
       }),
       'peer.opinion': params => {
-        this.#parts.listener.opinionHeard(params as WatcherOpinion)
+        this.#options.listener.opinionReceived(params as WatcherOpinion)
         return null
       },
     }
--- a/packages/agent/src/groupRecordStore.ts
+++ b/packages/agent/src/groupRecordStore.ts
@@ -1,4 +1,4 @@
-/** Group records in the platform's store: the calls that a failover machine asks for. */
+/** Reads and swaps group records in the platform's store for the failover state machine. */
 import type { StoreOutcome } from '@nutmegcourse/coordination'
 import {
   groupKey,
--- a/packages/agent/src/heapLimits.ts
+++ b/packages/agent/src/heapLimits.ts
@@ -1,7 +1,8 @@
 /**
- * Keeps this process's memory near what it holds. Left alone, V8 grows its young generation with each
- * burst, such as reading the whole fleet's state at the start, and never gives it back: that alone
- * is more than an agent may use. Imported first, before anything is allocated.
+ * Keeps the heap close to the size of the live objects. By default V8 enlarges its young generation with
+ * each burst of allocations, such as reading the state of the whole fleet at start-up, and does not shrink
+ * it again; that alone exceeds the memory limit of an agent. Must be imported first, before other modules
+ * allocate.
  */
 import { setFlagsFromString } from 'node:v8'
 
--- a/packages/agent/src/hostListPoll.ts
+++ b/packages/agent/src/hostListPoll.ts
@@ -1,16 +1,16 @@
-/** Keeps the platform's host list at hand. The list lags and may be out of reach; the last one stays. */
+/** Polls the platform's host list, which lags behind. While it is unreachable, the last list stays in use. */
 import type { HostListResult, ListedHost } from '@nutmegcourse/protocol'
 import type { AvailabilityZoneId } from '@nutmegcourse/shared'
 import type { HostListClient } from '@nutmegcourse/transport'
 
 /**
- * A platform that answers the whole list each time would, at 7,200 hosts, cost this host a megabyte
- * a second. It is then asked more seldom, so that the list takes no more than this in the mean.
+ * A platform that returns the whole list to every poll would, at 7,200 hosts, cost this host one megabyte
+ * per second. The poll then slows down, so that repeated lists use at most this bandwidth on average.
  */
-const MOST_BYTES_PER_SECOND = 6000
+const MAX_REPEATED_BYTES_PER_SECOND = 6000
 const MILLISECONDS_PER_SECOND = 1000
 
-export interface HostListPollParts {
+export interface HostListPollOptions {
   readonly client: HostListClient
   readonly zone: AvailabilityZoneId
   readonly intervalMilliseconds: number
@@ -18,26 +18,26 @@
 }
 
 export class HostListPoll {
-  readonly #parts: HostListPollParts
+  readonly #options: HostListPollOptions
   #knownVersion: number | null = null
   #timer: NodeJS.Timeout | undefined
   #closed = false
 
-  constructor(parts: HostListPollParts) {
-    this.#parts = parts
+  constructor(options: HostListPollOptions) {
+    this.#options = options
   }
 
   async start(): Promise<void> {
-    const { client, zone, intervalMilliseconds } = this.#parts
+    const { client, zone, intervalMilliseconds } = this.#options
     const receivedBefore = client.traffic.received
     const known = this.#knownVersion === null ? {} : { knownVersion: this.#knownVersion }
     const answer = await client.list({ zone, ...known })
     if (this.#closed) return
-    const repeated = answer.isOk() && isRepeated(answer.value, this.#knownVersion)
-    if (answer.isOk()) this.#take(answer.value)
-    const bytes = repeated ? client.traffic.received - receivedBefore : 0
-    const affordable = (bytes / MOST_BYTES_PER_SECOND) * MILLISECONDS_PER_SECOND
-    const wait = Math.max(intervalMilliseconds, affordable)
+    const wasRepeated = answer.isOk() && isRepeated(answer.value, this.#knownVersion)
+    if (answer.isOk()) this.#applyResult(answer.value)
+    const repeatedBytes = wasRepeated ? client.traffic.received - receivedBefore : 0
+    const minimumWait = (repeatedBytes / MAX_REPEATED_BYTES_PER_SECOND) * MILLISECONDS_PER_SECOND
+    const wait = Math.max(intervalMilliseconds, minimumWait)
     this.#timer = setTimeout(() => void this.start(), wait)
   }
 
@@ -46,13 +46,13 @@
     clearTimeout(this.#timer)
   }
 
-  #take(result: HostListResult): void {
+  #applyResult(result: HostListResult): void {
     if (result.unchanged === true || result.version === this.#knownVersion) return
     this.#knownVersion = result.version
-    this.#parts.onChange(result.hosts)
+    this.#options.onChange(result.hosts)
   }
 }
 
-/** The platform sent the whole list again to a host that already had it. */
+/** The platform sent the whole list although this host already has its version. */
 const isRepeated = (result: HostListResult, knownVersion: number | null): boolean =>
   result.unchanged !== true && result.version === knownVersion
--- a/packages/agent/src/knownHosts.ts
+++ b/packages/agent/src/knownHosts.ts
@@ -1,4 +1,4 @@
-/** The host list as this agent uses it: entry hosts, and backend servers by database with drains applied. */
+/** The entry hosts of the host list, and its backend servers by database with drains applied. */
 import type { ListedEntryHost } from '@nutmegcourse/coordination'
 import type { DrainList, ListedBackendServer, ListedHost } from '@nutmegcourse/protocol'
 import type { DatabaseId } from '@nutmegcourse/shared'
--- a/packages/agent/src/main.ts
+++ b/packages/agent/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The `nutmegcourse-agent` binary. */
+/** Entry point of the `nutmegcourse-agent` program. */
 import './heapLimits.js'
 import { randomUUID } from 'node:crypto'
 import { parseArgs } from 'node:util'
@@ -16,8 +16,8 @@
 
 const USAGE = `usage: nutmegcourse-agent --settings FILE
 
-Runs the control side of one entry host. Prints one line of JSON with its ports once it listens.
-SIGTERM tells the fleet that this host leaves, and ends the process.
+Runs the control plane of one entry host. Prints one line of JSON with its ports once it listens.
+On SIGTERM it announces to the fleet that this host leaves, and exits.
 `
 const EXIT_USAGE = 2
 
@@ -36,25 +36,26 @@
 }
 
 async function run(settings: AgentSettings): Promise<void> {
-  const { entryHost, zone, logLevel, metrics: place } = settings
+  const { entryHost, zone, logLevel, metrics: endpoint } = settings
   const log = createLog({ process: 'agent', entryHost, zone }, logLevel)
-  const agent = new Agent(settings, log, new Metrics(place), makeMachineWith(settings))
+  const agent = new Agent(settings, log, new Metrics(endpoint), makeMachineWith(settings))
   const ports = await agent.start()
   process.stdout.write(`${JSON.stringify({ ready: true, ports })}\n`)
   let stopped: Promise<void> | null = null
   const stop = (): void => {
     stopped ??= agent.stop().then(() => process.exit(0))
   }
-  // Taken each time: a signal without a listener ends the process before the fleet knows that it leaves.
+  // The listeners stay installed: without one, a second signal would end the process before the fleet
+  // is notified.
   process.on('SIGTERM', stop)
   process.on('SIGINT', stop)
 }
 
 const makeMachineWith =
   (settings: AgentSettings): MachineFactory =>
-  (database, self, pace) => {
+  (database, self, timing) => {
     const { storeTimeoutMilliseconds } = settings
-    const options = { ...pace, storeTimeoutMilliseconds }
+    const options = { ...timing, storeTimeoutMilliseconds }
     return new FailoverCore({ database, self, options }, new SystemRandom(), () =>
       attemptId(randomUUID()),
     )
--- a/packages/agent/src/peerNetwork.ts
+++ b/packages/agent/src/peerNetwork.ts
@@ -1,6 +1,6 @@
 /**
- * Links to other agents: dials those that are wanted, takes those that dial in, keeps one link per
- * pair, and sends heartbeats. Owns the links' sockets.
+ * Links to other agents: dials the wanted peers, accepts incoming connections, keeps one link per pair
+ * of agents, and sends heartbeats. Owns the sockets of the links.
  */
 import type { Socket } from 'node:net'
 import { errAsync, type ResultAsync } from 'neverthrow'
@@ -21,29 +21,29 @@
 import { TrafficCounter } from './trafficCounter.js'
 
 const HELLO_TIMEOUT_MILLISECONDS = 1000
-/** A link whose heartbeats go unanswered for so long leads nowhere; a fresh one may. */
+/** A link whose heartbeat is not answered in time is closed; a new connection may still get through. */
 const PING_TIMEOUT_MILLISECONDS = 3000
-/** With more links than this only the side that dialed sends heartbeats; their answer serves both. */
-const LINKS_WITH_HEARTBEATS_BOTH_WAYS = 12
+/** With more links than this, only the side that dialed sends heartbeats; one exchange proves both alive. */
+const MAX_LINKS_WITH_HEARTBEATS_BOTH_WAYS = 12
 
 export interface PeerNetworkListener {
   linked(peer: EntryHostId): void
-  /** The link broke, could not be made, or led to another host. */
+  /** The link broke, could not be established, or another host answered. */
   lost(peer: EntryHostId): void
   /** The link was closed on purpose. */
   unlinked(peer: EntryHostId): void
-  heard(peer: EntryHostId): void
+  messageReceived(peer: EntryHostId): void
   pingAnswered(peer: EntryHostId, answer: PeerPingResult, askedAt: Milliseconds): void
 }
 
-export interface PeerNetworkParts {
+export interface PeerNetworkOptions {
   readonly clock: Clock
   readonly hello: () => PeerHello
   readonly ping: () => PeerPingParams
-  readonly placeOf: (
+  readonly endpointOf: (
     host: EntryHostId,
   ) => { readonly address: string; readonly port: number } | null
-  /** Calls that peers make, by the peer that makes them. */
+  /** Handlers for calls of a peer; `peer` returns null until the peer has sent its hello. */
   readonly peerHandlers: (peer: () => EntryHostId | null) => RpcHandlers
   readonly listener: PeerNetworkListener
 }
@@ -55,7 +55,7 @@
 }
 
 export class PeerNetwork {
-  readonly #parts: PeerNetworkParts
+  readonly #options: PeerNetworkOptions
   readonly #links = new Map<EntryHostId, Link>()
   readonly #connections = new Set<JsonRpcConnection>()
   readonly #dialing = new Set<EntryHostId>()
@@ -64,8 +64,8 @@
   #wanted: ReadonlySet<EntryHostId> = new Set()
   #closed = false
 
-  constructor(parts: PeerNetworkParts) {
-    this.#parts = parts
+  constructor(options: PeerNetworkOptions) {
+    this.#options = options
   }
 
   get linkedPeers(): readonly EntryHostId[] {
@@ -76,39 +76,39 @@
     return this.#traffic.total()
   }
 
-  /** Takes a connection of another agent or of an operator's tool. */
+  /** Accepts a connection of another agent or of an operator's tool. */
   accept(socket: Socket): void {
     let peer: EntryHostId | null = null
     const connection: JsonRpcConnection = new JsonRpcConnection(socket, {
-      ...this.#parts.peerHandlers(() => peer),
+      ...this.#options.peerHandlers(() => peer),
       'peer.hello': params => {
         const hello = params as PeerHello
-        this.#admit(hello)
+        this.#checkHello(hello)
         peer = hello.entryHost
         this.#traffic.add(connection)
         this.#addLink({ connection, peer: hello, dialed: false })
-        return this.#parts.hello()
+        return this.#options.hello()
       },
     })
-    this.#track(connection)
+    this.#trackConnection(connection)
   }
 
-  /** Links outside the set are closed if this side dialed them. */
-  want(peers: readonly EntryHostId[]): void {
+  /** Sets the peers to hold links to. Other links are closed if this side dialed them. */
+  setWantedPeers(peers: readonly EntryHostId[]): void {
     this.#wanted = new Set(peers)
     for (const [id, link] of this.#links) {
       if (!link.dialed || this.#wanted.has(id)) continue
       this.#links.delete(id)
-      this.#parts.listener.unlinked(id)
+      this.#options.listener.unlinked(id)
       link.connection.close()
     }
     this.dialMissing()
   }
 
-  /** Each time heartbeats are due. */
+  /** Sends heartbeats and dials missing links; called whenever heartbeats are due. */
   heartbeat(): void {
     this.dialMissing()
-    const everyLink = this.#links.size <= LINKS_WITH_HEARTBEATS_BOTH_WAYS
+    const everyLink = this.#links.size <= MAX_LINKS_WITH_HEARTBEATS_BOTH_WAYS
     for (const link of this.#links.values()) {
       if (link.dialed || everyLink) this.#ping(link)
     }
@@ -125,7 +125,7 @@
     return link.connection.request<Answer>(method, params, timeoutMilliseconds)
   }
 
-  /** False when there is no link to send it on. */
+  /** Returns false when there is no link to the peer. */
   notify(peer: EntryHostId, method: string, params: unknown): boolean {
     const link = this.#links.get(peer)
     if (link === undefined || link.connection.closed) return false
@@ -133,21 +133,21 @@
     return true
   }
 
-  /** Ends a link that does not do its work; it is dialed again. */
+  /** Closes a link that does not work; it is dialed again if the peer is still wanted. */
   drop(peer: EntryHostId): void {
     this.#links.get(peer)?.connection.close()
   }
 
-  /** Looks for a host on its own link, or over a connection made for the purpose. */
+  /** Whether the host answers a ping on its link, or else identifies itself on a new connection. */
   async reaches(subject: EntryHostId, timeoutMilliseconds: number): Promise<boolean> {
     const link = this.#links.get(subject)
-    if (link === undefined) return await this.#greets(subject, timeoutMilliseconds)
+    if (link === undefined) return await this.#identifiesItself(subject, timeoutMilliseconds)
     const answer = await link.connection.request(
       'peer.ping',
-      this.#parts.ping(),
+      this.#options.ping(),
       timeoutMilliseconds,
     )
-    return answer.isOk() || (await this.#greets(subject, timeoutMilliseconds))
+    return answer.isOk() || (await this.#identifiesItself(subject, timeoutMilliseconds))
   }
 
   close(): void {
@@ -155,53 +155,53 @@
     for (const connection of this.#connections) connection.close()
   }
 
-  async #greets(subject: EntryHostId, timeoutMilliseconds: number): Promise<boolean> {
-    const place = this.#parts.placeOf(subject)
-    if (place === null) return false
-    const opened = await openJsonRpc(place.address, place.port, {}, timeoutMilliseconds)
+  async #identifiesItself(subject: EntryHostId, timeoutMilliseconds: number): Promise<boolean> {
+    const endpoint = this.#options.endpointOf(subject)
+    if (endpoint === null) return false
+    const opened = await openJsonRpc(endpoint.address, endpoint.port, {}, timeoutMilliseconds)
     if (opened.isErr()) return false
     const answer = await opened.value.request<PeerHello>('peer.identify', null, timeoutMilliseconds)
     opened.value.close()
     return answer.isOk() && answer.value.entryHost === subject
   }
 
-  /** Dials wanted hosts that there is no link to. */
+  /** Dials the wanted peers that have no link. */
   dialMissing(): void {
     if (this.#closed) return
-    const now = this.#parts.clock.now()
+    const now = this.#options.clock.now()
     for (const peer of this.#wanted) {
       if (this.#links.has(peer) || this.#dialing.has(peer)) continue
-      if (this.#backoff.mayTry(peer, now)) void this.#dial(peer)
+      if (this.#backoff.mayDial(peer, now)) void this.#dial(peer)
     }
   }
 
   async #dial(peer: EntryHostId): Promise<void> {
-    const place = this.#parts.placeOf(peer)
-    if (place === null) return
+    const endpoint = this.#options.endpointOf(peer)
+    if (endpoint === null) return
     this.#dialing.add(peer)
-    const linked = await this.#tryDial(peer, place.address, place.port)
+    const linked = await this.#tryDial(peer, endpoint.address, endpoint.port)
     this.#dialing.delete(peer)
     if (linked || this.#links.has(peer)) {
       this.#backoff.succeeded(peer)
       return
     }
-    this.#backoff.failed(peer, this.#parts.clock.now())
-    this.#parts.listener.lost(peer)
+    this.#backoff.failed(peer, this.#options.clock.now())
+    this.#options.listener.lost(peer)
   }
 
   async #tryDial(peer: EntryHostId, address: string, port: number): Promise<boolean> {
-    const handlers = this.#parts.peerHandlers(() => peer)
+    const handlers = this.#options.peerHandlers(() => peer)
     const opened = await openJsonRpc(address, port, handlers, HELLO_TIMEOUT_MILLISECONDS)
     if (opened.isErr()) return false
     const connection = opened.value
-    this.#track(connection)
+    this.#trackConnection(connection)
     this.#traffic.add(connection)
     const answer = await connection.request<PeerHello>(
       'peer.hello',
-      this.#parts.hello(),
+      this.#options.hello(),
       HELLO_TIMEOUT_MILLISECONDS,
     )
-    // A host that was replaced by one with the same address answers as somebody else.
+    // If the host was replaced by another at the same address, the answer names that other host.
     if (answer.isErr() || answer.value.entryHost !== peer || this.#closed) {
       connection.close()
       return false
@@ -210,10 +210,10 @@
     return true
   }
 
-  /** Of two links that a pair dialed at the same time, the one of the lesser id stays. */
-  #admit(hello: PeerHello): void {
+  /** If two agents dial each other at the same time, the link dialed by the lesser id is kept. */
+  #checkHello(hello: PeerHello): void {
     const existing = this.#links.get(hello.entryHost)
-    const self = this.#parts.hello().entryHost
+    const self = this.#options.hello().entryHost
     if (hello.entryHost === self) throw new Error('this is the same host')
     if (existing === undefined || hello.incarnation > existing.peer.incarnation) return
     if (existing.dialed && self < hello.entryHost) throw new Error('already linked')
@@ -221,17 +221,17 @@
 
   #addLink(link: Link): void {
     const id = link.peer.entryHost
-    const former = this.#links.get(id)
+    const previous = this.#links.get(id)
     this.#links.set(id, link)
     link.connection.onClose(() => {
       this.#linkClosed(id, link)
     })
-    if (former !== undefined) {
-      former.connection.close()
-      this.#parts.listener.unlinked(id)
+    if (previous !== undefined) {
+      previous.connection.close()
+      this.#options.listener.unlinked(id)
     }
-    this.#parts.listener.linked(id)
-    this.#parts.listener.heard(id)
+    this.#options.listener.linked(id)
+    this.#options.listener.messageReceived(id)
     if (link.dialed) this.#ping(link)
   }
 
@@ -239,29 +239,29 @@
     if (this.#links.get(id) !== link) return
     this.#links.delete(id)
     if (this.#closed) return
-    this.#parts.listener.lost(id)
+    this.#options.listener.lost(id)
     this.dialMissing()
   }
 
   #ping(link: Link): void {
-    const { clock, listener, ping } = this.#parts
+    const { clock, listener, ping } = this.#options
     const askedAt = clock.now()
     const id = link.peer.entryHost
     void link.connection
       .request<PeerPingResult>('peer.ping', ping(), PING_TIMEOUT_MILLISECONDS)
       .match(
         answer => {
-          listener.heard(id)
+          listener.messageReceived(id)
           listener.pingAnswered(id, answer, askedAt)
         },
         error => {
-          // A cut swallows bytes without closing anything.
+          // In a network partition packets are lost without the connection being closed.
           if (error.kind === 'answerTimeout') link.connection.close()
         },
       )
   }
 
-  #track(connection: JsonRpcConnection): void {
+  #trackConnection(connection: JsonRpcConnection): void {
     this.#connections.add(connection)
     connection.onClose(() => this.#connections.delete(connection))
   }
--- a/packages/agent/src/proxyServer.ts
+++ b/packages/agent/src/proxyServer.ts
@@ -1,16 +1,17 @@
-/** Serves this entry host's proxies: sends them what routing needs, takes their reports. */
+/** Serves this entry host's proxies: sends them routing snapshots and receives their reports. */
 import type { Server } from 'node:net'
 import type { ProxyReport, RoutingSnapshot } from '@nutmegcourse/protocol'
 import { JsonRpcConnection, listen } from '@nutmegcourse/transport'
 
 /**
- * A proxy that takes nothing (frozen, or busy for long) is left out until it reads again, so that it
- * costs this process no memory. It then gets the newest snapshot; those between are of no use.
+ * A proxy that does not read, because it is stalled or overloaded, is skipped while more than this is
+ * unsent, so that this process does not buffer snapshots for it without bound. Once it reads again it
+ * gets the newest snapshot only, as the ones between are obsolete.
  */
 const UNSENT_LIMIT_BYTES = 1024 * 1024
 const RETRY_MILLISECONDS = 200
 
-/** The part of a proxy's answer that is passed on. */
+/** The part of a proxy's answer that is forwarded. */
 export interface ProxyExplanation {
   readonly lines: readonly string[]
 }
@@ -18,8 +19,8 @@
 export class ProxyServer {
   readonly #onReport: (report: ProxyReport) => void
   readonly #proxies = new Set<JsonRpcConnection>()
-  /** Proxies that did not get the newest snapshot because too much still waits for them. */
-  readonly #behind = new Set<JsonRpcConnection>()
+  /** Proxies to which the newest snapshot was not sent because too many bytes are still unsent. */
+  readonly #lagging = new Set<JsonRpcConnection>()
   #snapshot: RoutingSnapshot | null = null
   #server: Server | null = null
   #retry: NodeJS.Timeout | undefined
@@ -54,15 +55,15 @@
     for (const proxy of this.#proxies) this.#send(proxy)
   }
 
-  /** Puts a question to every proxy of this host; the answers, and how many gave none. */
+  /** Sends a query to every proxy of this host; returns the answers and how many proxies sent none. */
   async explain(
-    question: unknown,
+    query: unknown,
     timeoutMilliseconds: number,
   ): Promise<{ readonly answers: readonly ProxyExplanation[]; readonly silent: number }> {
-    const asked = [...this.#proxies].map(proxy =>
-      proxy.request<ProxyExplanation>('proxy.explain', question, timeoutMilliseconds),
+    const requests = [...this.#proxies].map(proxy =>
+      proxy.request<ProxyExplanation>('proxy.explain', query, timeoutMilliseconds),
     )
-    const results = await Promise.all(asked)
+    const results = await Promise.all(requests)
     const answers = results.flatMap(result => (result.isOk() ? [result.value] : []))
     return { answers, silent: results.length - answers.length }
   }
@@ -77,7 +78,7 @@
     this.#proxies.add(connection)
     connection.onClose(() => {
       this.#proxies.delete(connection)
-      this.#behind.delete(connection)
+      this.#lagging.delete(connection)
     })
     this.#send(connection)
   }
@@ -85,14 +86,14 @@
   #send(proxy: JsonRpcConnection): void {
     if (this.#snapshot === null) return
     if (proxy.unsentBytes <= UNSENT_LIMIT_BYTES) {
-      this.#behind.delete(proxy)
+      this.#lagging.delete(proxy)
       proxy.notify('proxy.snapshot', this.#snapshot)
       return
     }
-    this.#behind.add(proxy)
+    this.#lagging.add(proxy)
     this.#retry ??= setTimeout(() => {
       this.#retry = undefined
-      for (const waiting of [...this.#behind]) this.#send(waiting)
+      for (const lagging of [...this.#lagging]) this.#send(lagging)
     }, RETRY_MILLISECONDS)
   }
 }
--- a/packages/agent/src/routingSnapshot.ts
+++ b/packages/agent/src/routingSnapshot.ts
@@ -1,4 +1,4 @@
-/** What this host's proxies need for routing, from what the agent knows. */
+/** Builds the snapshot that this host's proxies need for routing from the state of the agent. */
 import type { ConfigurationCore } from '@nutmegcourse/coordination'
 import type { GroupRecord, RoutingSnapshot } from '@nutmegcourse/protocol'
 import type { EntryHostId, Milliseconds } from '@nutmegcourse/shared'
--- a/packages/agent/src/serverLink.ts
+++ b/packages/agent/src/serverLink.ts
@@ -1,18 +1,18 @@
 /**
- * The one control connection that this agent holds to a watched backend server. Connections are
- * scarce and opening one takes tens of milliseconds, so it stays open and is reopened in the
- * background; a question that comes meanwhile waits for it within the question's own timeout.
+ * The only control connection of this agent to a watched backend server. Connections are scarce and
+ * opening one takes tens of milliseconds, so it stays open. After a loss the next query reopens it and
+ * waits for it up to the query's own timeout; opening continues in the background after that.
  */
 import { errAsync, type ResultAsync } from 'neverthrow'
 import type { ListedBackendServer, PositionReport } from '@nutmegcourse/protocol'
 import { ControlConnection, STALE_TERM_CODE, type TransportError } from '@nutmegcourse/transport'
 import type { ControlFailure } from '@nutmegcourse/coordination'
 import { assertNever, type Term } from '@nutmegcourse/shared'
-import { withinTime } from './withinTime.js'
+import { withTimeout } from './withTimeout.js'
 
 const CONNECT_TIMEOUT_MILLISECONDS = 2000
 
-type Question = (connection: ControlConnection) => ResultAsync<PositionReport, TransportError>
+type Query = (connection: ControlConnection) => ResultAsync<PositionReport, TransportError>
 
 export class ServerLink {
   readonly #server: ListedBackendServer
@@ -20,10 +20,10 @@
   readonly #onLost: () => void
   #opening: ResultAsync<ControlConnection, TransportError> | null = null
   #connection: ControlConnection | null = null
-  #questions = 0
+  #pendingQueries = 0
   #closed = false
 
-  /** `onLost` is called when an open connection breaks while nothing was asked on it. */
+  /** `onLost` is called when an open connection breaks while no query is pending. */
   constructor(server: ListedBackendServer, user: string, onLost: () => void) {
     this.#server = server
     this.#user = user
@@ -35,15 +35,15 @@
   }
 
   position(timeoutMilliseconds: number): ResultAsync<PositionReport, ControlFailure> {
-    return this.#ask(connection => connection.position(timeoutMilliseconds), timeoutMilliseconds)
+    return this.#run(connection => connection.position(timeoutMilliseconds), timeoutMilliseconds)
   }
 
   fence(term: Term, timeoutMilliseconds: number): ResultAsync<PositionReport, ControlFailure> {
-    return this.#ask(connection => connection.fence(term, timeoutMilliseconds), timeoutMilliseconds)
+    return this.#run(connection => connection.fence(term, timeoutMilliseconds), timeoutMilliseconds)
   }
 
   promote(term: Term, timeoutMilliseconds: number): ResultAsync<PositionReport, ControlFailure> {
-    return this.#ask(
+    return this.#run(
       connection => connection.promote(term, timeoutMilliseconds),
       timeoutMilliseconds,
     )
@@ -54,7 +54,7 @@
     primary: ListedBackendServer,
     timeoutMilliseconds: number,
   ): ResultAsync<PositionReport, ControlFailure> {
-    return this.#ask(
+    return this.#run(
       connection => connection.follow(term, primary.address, primary.port, timeoutMilliseconds),
       timeoutMilliseconds,
     )
@@ -65,28 +65,25 @@
     this.#connection?.close()
   }
 
-  #ask(
-    question: Question,
-    timeoutMilliseconds: number,
-  ): ResultAsync<PositionReport, ControlFailure> {
-    this.#questions += 1
+  #run(query: Query, timeoutMilliseconds: number): ResultAsync<PositionReport, ControlFailure> {
+    this.#pendingQueries += 1
     return this.#usableConnection(timeoutMilliseconds)
-      .andThen(question)
+      .andThen(query)
       .map(report => {
-        this.#questions -= 1
+        this.#pendingQueries -= 1
         return report
       })
       .mapErr(error => {
-        this.#questions -= 1
+        this.#pendingQueries -= 1
         return toControlFailure(error)
       })
   }
 
   #usableConnection(timeoutMilliseconds: number): ResultAsync<ControlConnection, TransportError> {
     if (this.#closed) return errAsync({ kind: 'connectionLost', detail: 'link closed' })
-    if (this.#connection?.closed === true) this.#forget()
+    if (this.#connection?.closed === true) this.#discardConnection()
     this.#opening ??= this.#open()
-    return withinTime(this.#opening, timeoutMilliseconds, {
+    return withTimeout(this.#opening, timeoutMilliseconds, {
       kind: 'connectTimeout',
       detail: this.#server.id,
     })
@@ -94,23 +91,23 @@
 
   #open(): ResultAsync<ControlConnection, TransportError> {
     const { address, port, database } = this.#server
-    const place = { address, port, database, user: this.#user }
-    return ControlConnection.open(place, CONNECT_TIMEOUT_MILLISECONDS)
+    const endpoint = { address, port, database, user: this.#user }
+    return ControlConnection.open(endpoint, CONNECT_TIMEOUT_MILLISECONDS)
       .map(connection => {
         this.#connection = connection
         connection.onClose(() => {
-          if (!this.#closed && this.#questions === 0) this.#onLost()
+          if (!this.#closed && this.#pendingQueries === 0) this.#onLost()
         })
         if (this.#closed) connection.close()
         return connection
       })
       .mapErr(error => {
-        this.#forget()
+        this.#discardConnection()
         return error
       })
   }
 
-  #forget(): void {
+  #discardConnection(): void {
     this.#connection = null
     this.#opening = null
   }
--- a/packages/agent/src/storeFollower.ts
+++ b/packages/agent/src/storeFollower.ts
@@ -1,4 +1,4 @@
-/** Reads the store for this host, and for the others when this host is one of those that do. */
+/** Watches the store's configuration and group records while this host is one of those that follow the store. */
 import {
   CONFIGURATION_KEY_PREFIX,
   GROUP_KEY_PREFIX,
@@ -15,10 +15,10 @@
 
 export interface StoreFollowerListener {
   learned(item: GossipItem): void
-  /** The store's targets as of `askedAt`. */
+  /** The store's targets as of `askedAt`; null when the key is absent. */
   targetsRead(document: VersionedTargets | null, revision: number, askedAt: Milliseconds): void
-  /** A value that no agent can use; operators see it in the log. */
-  unreadable(key: string): void
+  /** The value under the key is invalid; it is logged for operators. */
+  valueUnreadable(key: string): void
 }
 
 export class StoreFollower {
@@ -57,8 +57,8 @@
     return this.#configuration.running
   }
 
-  follow(wanted: boolean): void {
-    if (wanted) {
+  setFollowing(isFollowing: boolean): void {
+    if (isFollowing) {
       this.#configuration.start()
       this.#groups.start()
     } else {
@@ -69,7 +69,7 @@
 
   #failed(): void {
     this.#reachable = false
-    // After an outage everything is read anew, and an absent key is then really absent.
+    // After a failure everything is read again, and a key that is absent then is absent from the store.
     this.#targets = null
   }
 
@@ -80,10 +80,10 @@
       const drains = readDrains(stored)
       if (drains !== null) this.#listener.learned({ kind: 'drains', drains })
     }
-    this.#tellTargets(askedAt)
+    this.#reportTargets(askedAt)
   }
 
-  #tellTargets(askedAt: Milliseconds): void {
+  #reportTargets(askedAt: Milliseconds): void {
     if (this.#targets === null) {
       this.#listener.targetsRead(null, 0, askedAt)
       return
@@ -93,18 +93,18 @@
     else this.#listener.targetsRead(document, this.#targets.revision, askedAt)
   }
 
-  /** Once for each value: the same one is looked at again with every answer of the store. */
+  /** Reports each value once, although it is evaluated again with each of the store's answers. */
   #reportUnreadable({ key, revision }: StoredValue): void {
     if (this.#reportedRevision === revision) return
     this.#reportedRevision = revision
-    this.#listener.unreadable(key)
+    this.#listener.valueUnreadable(key)
   }
 
   #groupsRead(values: readonly StoredValue[]): void {
     this.#reachable = true
     for (const { key, value, revision } of values) {
       const record = readGroupRecord(value)
-      if (record === null) this.#listener.unreadable(key)
+      if (record === null) this.#listener.valueUnreadable(key)
       else this.#listener.learned({ kind: 'group', record, revision })
     }
   }
--- a/packages/agent/src/storeWatch.ts
+++ b/packages/agent/src/storeWatch.ts
@@ -1,16 +1,16 @@
 /**
- * Follows one part of the store: reads it whole, then waits for changes. Reads it whole again after
- * a failure, and when the store's revision went back, which a restored store shows.
+ * Watches the keys of the store under one prefix: reads all of them, then long-polls for changes. Reads
+ * all of them again after a failure, and when the store's revision went back, as after a restore.
  */
 import type { StoredValue } from '@nutmegcourse/protocol'
 import type { Clock, Milliseconds } from '@nutmegcourse/shared'
 import type { StoreClient } from '@nutmegcourse/transport'
 
-const WAIT_MILLISECONDS = 2000
+const LONG_POLL_MILLISECONDS = 2000
 const RETRY_MILLISECONDS = 500
 
 export interface StoreWatchListener {
-  /** Every value is in hand as of `askedAt`: `values` are those that changed since the last call. */
+  /** The state as of `askedAt` is complete: `values` are the ones that changed since the last call. */
   storeAnswered(values: readonly StoredValue[], askedAt: Milliseconds): void
   storeFailed(): void
 }
@@ -20,10 +20,10 @@
   readonly #prefix: string
   readonly #clock: Clock
   readonly #listener: StoreWatchListener
-  /** Null before everything was read. */
+  /** Null until all values have been read. */
   #revision: number | null = null
   #running = false
-  #round = 0
+  #generation = 0
 
   constructor(client: StoreClient, prefix: string, clock: Clock, listener: StoreWatchListener) {
     this.#client = client
@@ -40,23 +40,23 @@
     if (this.#running) return
     this.#running = true
     this.#revision = null
-    this.#round += 1
-    void this.#follow(this.#round)
+    this.#generation += 1
+    void this.#follow(this.#generation)
   }
 
   stop(): void {
     this.#running = false
   }
 
-  async #follow(round: number): Promise<void> {
-    while (this.#running && this.#round === round) {
+  async #follow(generation: number): Promise<void> {
+    while (this.#running && this.#generation === generation) {
       const answered = await (this.#revision === null
         ? this.#readAll()
-        : this.#wait(this.#revision))
+        : this.#waitForChanges(this.#revision))
       if (answered) continue
       this.#revision = null
       this.#listener.storeFailed()
-      await pause(RETRY_MILLISECONDS)
+      await sleep(RETRY_MILLISECONDS)
     }
   }
 
@@ -69,12 +69,12 @@
     return true
   }
 
-  async #wait(afterRevision: number): Promise<boolean> {
+  async #waitForChanges(afterRevision: number): Promise<boolean> {
     const askedAt = this.#clock.now()
     const answer = await this.#client.watch({
       prefix: this.#prefix,
       afterRevision,
-      waitMilliseconds: WAIT_MILLISECONDS,
+      waitMilliseconds: LONG_POLL_MILLISECONDS,
     })
     if (answer.isErr()) return false
     const { revision, changed } = answer.value
@@ -84,7 +84,7 @@
   }
 }
 
-const pause = (span: number): Promise<void> =>
+const sleep = (milliseconds: number): Promise<void> =>
   new Promise(resolve => {
-    setTimeout(resolve, span)
+    setTimeout(resolve, milliseconds)
   })
--- a/packages/agent/src/toolHandlers.ts
+++ b/packages/agent/src/toolHandlers.ts
@@ -1,4 +1,4 @@
-/** Answers operators' tools. */
+/** Handlers for the calls of operators' tools. */
 import type {
   AgentExplainParams,
   AgentExplainRoutingParams,
@@ -17,7 +17,7 @@
 
 const GATHER_TIMEOUT_MILLISECONDS = 1000
 
-export interface ToolParts {
+export interface ToolHandlerOptions {
   readonly status: () => AgentStatusResult
   readonly usage: () => AgentUsageResult
   readonly events: EventLog
@@ -27,36 +27,36 @@
   readonly entryHost: EntryHostId
 }
 
-export function toolHandlers(parts: ToolParts): RpcHandlers {
+export function toolHandlers(options: ToolHandlerOptions): RpcHandlers {
   return {
-    'agent.status': () => parts.status(),
-    'agent.usage': () => parts.usage(),
-    'agent.explain': params => explain(parts, params as AgentExplainParams),
-    'agent.explainRouting': params => explainRouting(parts, params as AgentExplainRoutingParams),
-    'agent.events': params => parts.events.of((params as AgentExplainParams).database),
+    'agent.status': () => options.status(),
+    'agent.usage': () => options.usage(),
+    'agent.explain': params => explain(options, params as AgentExplainParams),
+    'agent.explainRouting': params => explainRouting(options, params as AgentExplainRoutingParams),
+    'agent.events': params => options.events.of((params as AgentExplainParams).database),
     'agent.getTargets': (): AgentGetTargetsResult => {
-      const { configuration } = parts.fleet()
+      const { configuration } = options.fleet()
       return {
         targets: configuration.newest,
-        confirmed: configuration.confirmed(parts.clock.now()),
+        confirmed: configuration.confirmed(options.clock.now()),
       }
     },
   }
 }
 
 async function explainRouting(
-  parts: ToolParts,
+  options: ToolHandlerOptions,
   params: AgentExplainRoutingParams,
 ): Promise<AgentExplainRoutingResult> {
-  const databases = parts.status().groups.map(group => group.database)
-  const asked = databases.map(async database => {
-    const question = { kind: params.kind, database, [params.kind]: params.name }
-    const found = await parts.proxies.explain(question, GATHER_TIMEOUT_MILLISECONDS)
-    return { database, ...found }
+  const databases = options.status().groups.map(group => group.database)
+  const requests = databases.map(async database => {
+    const query = { kind: params.kind, database, [params.kind]: params.name }
+    const explanation = await options.proxies.explain(query, GATHER_TIMEOUT_MILLISECONDS)
+    return { database, ...explanation }
   })
-  const gathered = await Promise.all(asked)
+  const gathered = await Promise.all(requests)
   return {
-    entryHost: parts.entryHost,
+    entryHost: options.entryHost,
     explanations: gathered.flatMap(({ database, answers }) =>
       answers.map(({ lines }) => ({ database, lines })),
     ),
@@ -64,8 +64,11 @@
   }
 }
 
-async function explain(parts: ToolParts, params: AgentExplainParams): Promise<AgentExplainResult> {
-  const { network, news } = parts.fleet()
+async function explain(
+  options: ToolHandlerOptions,
+  params: AgentExplainParams,
+): Promise<AgentExplainResult> {
+  const { network, gossip } = options.fleet()
   const { database } = params
   const silentPeers: EntryHostId[] = []
   const gathered = await Promise.all(
@@ -80,8 +83,8 @@
       return answer.unwrapOr([])
     }),
   )
-  const events = [...parts.events.of(database), ...gathered.flat()]
-  const item = news.get(`group/${database}`)
+  const events = [...options.events.of(database), ...gathered.flat()]
+  const item = gossip.get(`group/${database}`)
   return {
     database,
     record: item?.kind === 'group' ? item.record : null,
--- a/packages/agent/src/trafficCounter.ts
+++ b/packages/agent/src/trafficCounter.ts
@@ -1,4 +1,4 @@
-/** Bytes over connections that come and go. */
+/** Sums the bytes sent and received over open and closed connections. */
 import type { TrafficTotal } from '@nutmegcourse/protocol'
 import type { JsonRpcConnection } from '@nutmegcourse/transport'
 
--- a/packages/agent/src/withinTime.ts
+++ b/packages/agent/src/withTimeout.ts
@@ -1,7 +1,7 @@
-/** Bounds the wait for a result that goes on by itself and may serve a later question. */
+/** Bounds the wait for a result. The operation itself continues, and a later caller may use its result. */
 import { ResultAsync, err, type Result } from 'neverthrow'
 
-export function withinTime<Value, Failure>(
+export function withTimeout<Value, Failure>(
   result: ResultAsync<Value, Failure>,
   timeoutMilliseconds: number,
   failure: Failure,
