--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -59,7 +59,7 @@
 /** A host whose targets have not been confirmed for this long watches the store itself. */
 const FOLLOW_UNCONFIRMED_AFTER_MILLISECONDS = 5000
 const FOLLOW_CHECK_MILLISECONDS = 1000
-/** In a fleet of more hosts than this, a host that starts gets the state from a neighbour, not the store. */
+/** In a larger fleet, a host that starts gets the state from a neighbour instead of the store. */
 const LARGE_FLEET_HOSTS = 12
 const PEER_STATE_WAIT_MILLISECONDS = 3000
 
--- a/packages/agent/src/fleetTask.ts
+++ b/packages/agent/src/fleetTask.ts
@@ -122,7 +122,7 @@
     ]
   }
 
-  /** Announces to the fleet that this host stops. Call `close` after the message has had time to be sent. */
+  /** Announces to the fleet that this host stops. Call `close` once the message has had time to leave. */
   leave(): void {
     this.handleMembership({ kind: 'stop' })
   }
@@ -132,7 +132,7 @@
     this.network.close()
   }
 
-  /** Hosts that watch the same databases as this one. Links to them are kept open, as opinions are urgent. */
+  /** Sets the hosts that watch the same databases. Links to them stay open, as opinions are urgent. */
   setPartners(partners: readonly EntryHostId[]): void {
     this.#partners = partners
     this.#updateLinks()
--- a/packages/agent/src/peerNetwork.ts
+++ b/packages/agent/src/peerNetwork.ts
@@ -23,7 +23,7 @@
 const HELLO_TIMEOUT_MILLISECONDS = 1000
 /** A link whose heartbeat is not answered in time is closed; a new connection may still get through. */
 const PING_TIMEOUT_MILLISECONDS = 3000
-/** With more links than this, only the side that dialed sends heartbeats; one exchange proves both alive. */
+/** With more links than this, only the side that dialed sends heartbeats; the answer serves both. */
 const MAX_LINKS_WITH_HEARTBEATS_BOTH_WAYS = 12
 
 export interface PeerNetworkListener {
--- a/packages/agent/src/storeFollower.ts
+++ b/packages/agent/src/storeFollower.ts
@@ -1,4 +1,4 @@
-/** Watches the store's configuration and group records while this host is one of those that follow the store. */
+/** Watches the store's configuration and group records while this host is a follower of the store. */
 import {
   CONFIGURATION_KEY_PREFIX,
   GROUP_KEY_PREFIX,
--- a/packages/ctl/__tests__/explainCommand.spec.ts
+++ b/packages/ctl/__tests__/explainCommand.spec.ts
@@ -7,7 +7,7 @@
 import { explain } from '../src/commands/explainCommand.js'
 import { showStatus } from '../src/commands/statusCommand.js'
 
-const STORY: AgentExplainResult = {
+const EXPLANATION: AgentExplainResult = {
   database: databaseId('sched'),
   record: {
     database: databaseId('sched'),
@@ -29,7 +29,7 @@
 const agent: AgentPort = {
   getTargets: () => errAsync({ detail: 'refused' }),
   status: () => errAsync({ detail: 'refused' }),
-  explain: () => okAsync(STORY),
+  explain: () => okAsync(EXPLANATION),
   explainRouting: params =>
     okAsync({
       entryHost: entryHostId('entry-1'),
@@ -39,7 +39,7 @@
 }
 
 describe('explain', () => {
-  it('tells the last change of primary step by step, and whose part is missing', async () => {
+  it('lists the steps of the last change of primary and the peers that did not answer', async () => {
     const { output } = await explain(agent, { subject: 'database', name: 'sched', json: false })
     const lines = output.trimEnd().split('\n')
     expect(lines[0]).toEqual('sched: term 7, primary sched-b, stable')
@@ -51,7 +51,7 @@
   })
 
   for (const subject of ['class', 'session'] as const) {
-    it(`passes a question about a ${subject} on to the proxies`, async () => {
+    it(`prints the explanations of the proxies for a ${subject}`, async () => {
       const { output } = await explain(agent, { subject, name: 'x', json: false })
       expect(output).toEqual(`as the proxies of entry-1 see it\nsched:\n  ${subject} x\n`)
     })
@@ -59,11 +59,11 @@
 })
 
 describe('status', () => {
-  it('says that the agent is unreachable', async () => {
+  it('reports that the agent is unreachable', async () => {
     expect(await showStatus(agent, false)).toEqual({
       exitCode: 5,
       output: '',
-      complaint: 'agent unreachable: refused',
+      errorOutput: 'agent unreachable: refused',
     })
   })
 })
--- a/packages/ctl/__tests__/logsCommand.spec.ts
+++ b/packages/ctl/__tests__/logsCommand.spec.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { readLogs, type LogsQuestion } from '../src/commands/logsCommand.js'
+import { readLogs, type LogsQuery } from '../src/commands/logsCommand.js'
 import { parseCommand } from '../src/parseCommand.js'
 
 const line = (second: number, host: string, message: string, fields: object): string =>
@@ -25,24 +25,28 @@
 ].join('\n')
 
 describe('readLogs', () => {
-  const cases: readonly (readonly [string, LogsQuestion, readonly string[]])[] = [
-    ['one request, in order', { kind: 'request', id: 'r1' }, ['try_failed', 'statement_refused']],
+  const cases: readonly (readonly [string, LogsQuery, readonly string[]])[] = [
     [
-      'one change of primary, over all hosts',
+      'returns the lines of one request in order of time',
+      { kind: 'request', id: 'r1' },
+      ['try_failed', 'statement_refused'],
+    ],
+    [
+      'returns the lines of one change of primary from all hosts',
       { kind: 'change', service: 's' },
       ['primary_suspected', 'change_claimed'],
     ],
   ]
-  for (const [name, question, events] of cases) {
+  for (const [name, query, events] of cases) {
     it(name, () => {
-      const { exitCode: status, output } = readLogs(LOGS, question, true)
-      const story = JSON.parse(output) as { event: string }[]
-      expect([status, ...story.map(({ event }) => event)]).toEqual([0, ...events])
-      expect(readLogs(LOGS, question, false).output.split('\n').length).toEqual(events.length + 1)
+      const { exitCode: status, output } = readLogs(LOGS, query, true)
+      const lines = JSON.parse(output) as { event: string }[]
+      expect([status, ...lines.map(({ event }) => event)]).toEqual([0, ...events])
+      expect(readLogs(LOGS, query, false).output.split('\n').length).toEqual(events.length + 1)
     })
   }
 
-  it('counts by reason, what was left out too', () => {
+  it('counts lines by event and reason, including lines that were left out', () => {
     const counts = JSON.parse(readLogs(LOGS, { kind: 'summary' }, true).output) as object
     expect(counts).toEqual({
       'try_failed (left out)': 40,
@@ -53,14 +57,14 @@
     })
   })
 
-  it('says when nothing is there', () => {
+  it('fails when no line matches or the input has no line of an entry host', () => {
     expect(readLogs(LOGS, { kind: 'request', id: 'none' }, false).exitCode).toEqual(2)
     expect(readLogs('', { kind: 'summary' }, false).exitCode).toEqual(2)
   })
 })
 
-describe('the words of logs', () => {
-  const good: readonly (readonly [readonly string[], LogsQuestion, readonly string[]])[] = [
+describe('parseCommand for logs', () => {
+  const accepted: readonly (readonly [readonly string[], LogsQuery, readonly string[]])[] = [
     [
       ['logs', 'request', 'r1', 'a.log', 'b.log'],
       { kind: 'request', id: 'r1' },
@@ -69,20 +73,20 @@
     [['logs', 'change', 's', '-'], { kind: 'change', service: 's' }, ['-']],
     [['logs', 'summary', 'a.log'], { kind: 'summary' }, ['a.log']],
   ]
-  for (const [words, question, files] of good) {
-    it(words.join(' '), () => {
-      const parsed = parseCommand(words)
-      expect(parsed.isOk() && parsed.value.command).toEqual({ kind: 'logs', question, files })
+  for (const [args, query, files] of accepted) {
+    it(args.join(' '), () => {
+      const parsed = parseCommand(args)
+      expect(parsed.isOk() && parsed.value.command).toEqual({ kind: 'logs', query, files })
     })
   }
-  for (const words of [
+  for (const args of [
     ['logs'],
     ['logs', 'request', 'r1'],
     ['logs', 'summary'],
     ['logs', 'x', 'y'],
   ]) {
-    it(`refuses ${words.join(' ')}`, () => {
-      expect(parseCommand(words).isErr()).toEqual(true)
+    it(`refuses ${args.join(' ')}`, () => {
+      expect(parseCommand(args).isErr()).toEqual(true)
     })
   }
 })
--- a/packages/ctl/__tests__/parseCommand.spec.ts
+++ b/packages/ctl/__tests__/parseCommand.spec.ts
@@ -3,39 +3,41 @@
 import { parseCommand } from '../src/parseCommand.js'
 
 describe('parseCommand', () => {
-  const accepted: { words: string; kind: string }[] = [
-    { words: 'apply targets.yaml --expect-version 3 --as amina', kind: 'apply' },
-    { words: 'apply - --json', kind: 'apply' },
-    { words: 'get', kind: 'get' },
-    { words: 'diff -', kind: 'diff' },
-    { words: 'status --settings ctl.yaml', kind: 'status' },
-    { words: 'explain session tally-7', kind: 'explain' },
-    { words: 'drain sched-1-a --undo', kind: 'drain' },
-    { words: '--help', kind: 'help' },
-    { words: 'drain --help', kind: 'help' },
+  const accepted: { commandLine: string; kind: string }[] = [
+    { commandLine: 'apply targets.yaml --expect-version 3 --as amina', kind: 'apply' },
+    { commandLine: 'apply - --json', kind: 'apply' },
+    { commandLine: 'get', kind: 'get' },
+    { commandLine: 'diff -', kind: 'diff' },
+    { commandLine: 'status --settings ctl.yaml', kind: 'status' },
+    { commandLine: 'explain session tally-7', kind: 'explain' },
+    { commandLine: 'drain sched-1-a --undo', kind: 'drain' },
+    { commandLine: '--help', kind: 'help' },
+    { commandLine: 'drain --help', kind: 'help' },
   ]
-  for (const { words, kind } of accepted) {
-    it(`takes: ${words}`, () => {
-      expect(parseCommand(words.split(' '))._unsafeUnwrap().command.kind).toEqual(kind as 'get')
+  for (const { commandLine, kind } of accepted) {
+    it(`accepts: ${commandLine}`, () => {
+      expect(parseCommand(commandLine.split(' '))._unsafeUnwrap().command.kind).toEqual(
+        kind as 'get',
+      )
     })
   }
 
-  const refused: { words: string; complaint: string }[] = [
-    { words: 'promote x', complaint: 'no such command: promote' },
-    { words: 'apply', complaint: 'apply takes 1 operand, not 0' },
+  const refused: { commandLine: string; message: string }[] = [
+    { commandLine: 'promote x', message: 'no such command: promote' },
+    { commandLine: 'apply', message: 'apply takes 1 operand, not 0' },
     {
-      words: 'apply f --expect-version new',
-      complaint: '--expect-version takes a whole number, not new',
+      commandLine: 'apply f --expect-version new',
+      message: '--expect-version takes a whole number, not new',
     },
-    { words: 'get --undo', complaint: 'get does not take --undo' },
+    { commandLine: 'get --undo', message: 'get does not take --undo' },
     {
-      words: 'explain caller x',
-      complaint: 'explain takes one of class, session, database, not caller',
+      commandLine: 'explain caller x',
+      message: 'explain takes one of class, session, database, not caller',
     },
   ]
-  for (const { words, complaint } of refused) {
-    it(`refuses: ${words}`, () => {
-      expect(parseCommand(words.split(' '))._unsafeUnwrapErr()).toEqual(complaint)
+  for (const { commandLine, message } of refused) {
+    it(`refuses: ${commandLine}`, () => {
+      expect(parseCommand(commandLine.split(' '))._unsafeUnwrapErr()).toEqual(message)
     })
   }
 })
--- a/packages/ctl/__tests__/targetsCommands.spec.ts
+++ b/packages/ctl/__tests__/targetsCommands.spec.ts
@@ -8,13 +8,13 @@
 import type { ExitCode } from '../src/exitCode.js'
 import type { StorePort, StorePortError } from '../src/storePort.js'
 
-type Fault = 'loseAnswer' | 'loseQuestion' | 'down'
+type Fault = 'loseAnswer' | 'loseRequest' | 'down'
 
 class FakeStore implements StorePort {
   readonly values = new Map<string, StoredValue>()
   #revision = 0
   #faults: Fault[] = []
-  /** Runs between a reading and the swap that follows it. */
+  /** Runs once, between a read and the swap that follows it. */
   beforeSwap: (() => void) | null = null
 
   inject(...faults: Fault[]): void {
@@ -39,7 +39,7 @@
     this.beforeSwap = null
     const fault = this.#faults.shift()
     if (fault === 'down') return errAsync({ kind: 'unreachable', detail: 'refused' })
-    if (fault === 'loseQuestion') return errAsync({ kind: 'outcomeUnknown', detail: 'timeout' })
+    if (fault === 'loseRequest') return errAsync({ kind: 'outcomeUnknown', detail: 'timeout' })
     const current = this.values.get(key) ?? null
     const matches = (current?.revision ?? 0) === expectedRevision
     if (matches) this.put(key, value)
@@ -70,36 +70,36 @@
   })
 
 describe('apply', () => {
-  // An operator changes targets while the store misbehaves. Whatever the command says must be true
-  // of the store afterwards: accepted means there once, refused means not there.
+  // An operator changes targets while calls to the store fail. The reported outcome must match the store:
+  // an accepted change is stored exactly once, a refused one is not stored.
   const cases: {
     name: string
     faults: Fault[]
     exitCode: ExitCode
     version: number
   }[] = [
-    { name: 'accepts', faults: [], exitCode: 0, version: 1 },
+    { name: 'accepts a change', faults: [], exitCode: 0, version: 1 },
     {
-      name: 'settles an answer lost after the change',
+      name: 'succeeds when the answer is lost after the change',
       faults: ['loseAnswer'],
       exitCode: 0,
       version: 1,
     },
-    { name: 'sends again what never arrived', faults: ['loseQuestion'], exitCode: 0, version: 1 },
+    { name: 'retries a request that was lost', faults: ['loseRequest'], exitCode: 0, version: 1 },
     {
-      name: 'settles several lost answers in a row',
-      faults: ['loseAnswer', 'loseAnswer', 'loseQuestion'],
+      name: 'succeeds after several lost answers in a row',
+      faults: ['loseAnswer', 'loseAnswer', 'loseRequest'],
       exitCode: 0,
       version: 1,
     },
     {
-      name: 'says that nothing changed while the store is down',
+      name: 'reports that nothing changed while the store is down',
       faults: ['down', 'down', 'down', 'down', 'down'],
       exitCode: 5,
       version: 0,
     },
     {
-      name: 'does not claim either way when it can not tell',
+      name: 'reports an unknown outcome when an answer was lost and the store stays down',
       faults: ['loseAnswer', 'down', 'down', 'down', 'down'],
       exitCode: 6,
       version: 1,
@@ -117,9 +117,9 @@
     })
   }
 
-  // Two operators change the same document at once. One wins; the other must hear of the conflict
-  // and of the difference, never see its change silently dropped or the winner's overwritten.
-  it('tells the loser of a race what won', async () => {
+  // Two operators change the same document at the same time. The one that loses must get the conflict and
+  // the differences; its change must not be dropped silently nor overwrite the other one.
+  it('reports the winning change to the operator that lost a race', async () => {
     const store = new FakeStore()
     await apply(store, 100)
     store.beforeSwap = () => {
@@ -133,13 +133,13 @@
     }
     const loser = await apply(store, 300)
     expect(loser.exitCode).toEqual(4)
-    expect(loser.complaint.includes('version 2 by rival is in force')).toEqual(true)
-    expect(loser.complaint.includes('latencyMilliseconds 100 -> 300')).toEqual(true)
+    expect(loser.errorOutput.includes('version 2 by rival is in force')).toEqual(true)
+    expect(loser.errorOutput.includes('latencyMilliseconds 100 -> 300')).toEqual(true)
   })
 
-  // The answer to a change is lost, and before the operator's program reads back a rival's change
-  // builds on it. The program must find its own change in the newer document's memory.
-  it('recognises its change under a rival change that came after', async () => {
+  // The answer to a change is lost, and before the retry another operator's change is made on top of it.
+  // The command must find its own change id among the recent changes of the newer document.
+  it('recognises its change under a later change of another operator', async () => {
     const store = new FakeStore()
     store.inject('loseAnswer')
     const original = store.compareAndSwap.bind(store)
@@ -155,22 +155,22 @@
     expect((await apply(store, 100)).exitCode).toEqual(0)
   })
 
-  it('refuses when another version is in force than expected', async () => {
+  it('refuses when a version other than the expected one is in force', async () => {
     const store = new FakeStore()
     await apply(store, 100)
     expect((await apply(store, 200, 7)).exitCode).toEqual(4)
     expect((await apply(store, 200, 1)).exitCode).toEqual(0)
   })
 
-  // The store is restored from a copy that is three versions old. An operator's next change must be
-  // numbered above all that the fleet has seen, or every agent would ignore it as old.
-  it('numbers a change above what the fleet knows', async () => {
+  // The store is restored from a copy that is three versions old. The next change must get a version above
+  // all that the fleet has seen, or every agent would ignore it as old.
+  it('assigns a version above the newest one that the fleet knows', async () => {
     const store = new FakeStore()
     await apply(store, 100)
     expect((await apply(store, 200, null, 4)).output.startsWith('version 5 accepted')).toEqual(true)
   })
 
-  it('changes nothing for a document with mistakes', async () => {
+  it('changes nothing for an invalid document', async () => {
     const store = new FakeStore()
     const result = await applyTargets(store, {
       text: 'service: x\nclasses: []\n',
@@ -187,7 +187,7 @@
 })
 
 describe('get and diff', () => {
-  it('print what is in force and what would change', async () => {
+  it('print the targets in force and what would change', async () => {
     const store = new FakeStore()
     await apply(store, 100)
     expect((await getTargets(store, false)).output.includes('version 1')).toEqual(true)
@@ -203,7 +203,7 @@
   const drain = (store: StorePort, undo: boolean) =>
     drainBackendServer(store, { backendServer: server, undo, json: false })
 
-  it('marks once, however often it is said, and takes the mark back', async () => {
+  it('marks a server once even if repeated, and removes the mark', async () => {
     const store = new FakeStore()
     store.inject('loseAnswer')
     expect((await drain(store, false)).output).toEqual('draining: sched-1\n')
@@ -211,7 +211,7 @@
     expect((await drain(store, true)).output).toEqual('draining: none\n')
   })
 
-  it('keeps what a rival marked in between', async () => {
+  it('keeps the mark that another operator set at the same time', async () => {
     const store = new FakeStore()
     store.beforeSwap = () => {
       store.put('configuration/drains', { version: 1, backendServers: ['sched-2'] })
--- a/packages/ctl/src/agentOverRpc.ts
+++ b/packages/ctl/src/agentOverRpc.ts
@@ -1,4 +1,4 @@
-/** The agent port over JSON-RPC. */
+/** Implements the agent port over JSON-RPC. */
 import type { ResultAsync } from 'neverthrow'
 import type {
   AgentExplainResult,
@@ -9,14 +9,14 @@
 } from '@nutmegcourse/protocol'
 import type { DatabaseId } from '@nutmegcourse/shared'
 import type { AgentPort, AgentPortError } from './agentPort.js'
-import { callOnce, type Place } from './callOnce.js'
+import { callOnce, type RpcEndpoint } from './callOnce.js'
 
 export class AgentOverRpc implements AgentPort {
-  readonly #place: Place
+  readonly #endpoint: RpcEndpoint
   readonly #timeoutMilliseconds: number
 
-  constructor(place: Place, timeoutMilliseconds: number) {
-    this.#place = place
+  constructor(endpoint: RpcEndpoint, timeoutMilliseconds: number) {
+    this.#endpoint = endpoint
     this.#timeoutMilliseconds = timeoutMilliseconds
   }
 
@@ -39,7 +39,7 @@
   }
 
   #call<Answer>(method: string, params: unknown): ResultAsync<Answer, AgentPortError> {
-    return callOnce<Answer>(this.#place, method, params, this.#timeoutMilliseconds).mapErr(
+    return callOnce<Answer>(this.#endpoint, method, params, this.#timeoutMilliseconds).mapErr(
       ({ detail }) => ({ detail }),
     )
   }
--- a/packages/ctl/src/agentPort.ts
+++ b/packages/ctl/src/agentPort.ts
@@ -1,4 +1,4 @@
-/** The agent's calls that commands need. */
+/** The calls of the agent that commands use. */
 import type { ResultAsync } from 'neverthrow'
 import type {
   AgentExplainResult,
@@ -9,7 +9,7 @@
 } from '@nutmegcourse/protocol'
 import type { DatabaseId } from '@nutmegcourse/shared'
 
-/** Reading changes nothing, so that one kind of failure is enough. */
+/** One kind of failure is enough: the calls only read, so nothing can have changed. */
 export interface AgentPortError {
   readonly detail: string
 }
--- a/packages/ctl/src/callOnce.ts
+++ b/packages/ctl/src/callOnce.ts
@@ -1,19 +1,19 @@
-/** One JSON-RPC call on a connection of its own: a broken one never outlives the call it broke. */
+/** Makes one JSON-RPC call on its own connection, so that a broken connection affects only that call. */
 import { openJsonRpc, type JsonRpcConnection, type TransportError } from '@nutmegcourse/transport'
 import type { ResultAsync } from 'neverthrow'
 
-export interface Place {
+export interface RpcEndpoint {
   readonly address: string
   readonly port: number
 }
 
 export function callOnce<Answer>(
-  { address, port }: Place,
+  { address, port }: RpcEndpoint,
   method: string,
   params: unknown,
   timeoutMilliseconds: number,
 ): ResultAsync<Answer, TransportError> {
-  const ask = (connection: JsonRpcConnection): ResultAsync<Answer, TransportError> => {
+  const call = (connection: JsonRpcConnection): ResultAsync<Answer, TransportError> => {
     const close = (): void => {
       connection.close()
     }
@@ -22,5 +22,5 @@
       .andTee(close)
       .orTee(close)
   }
-  return openJsonRpc(address, port, {}, timeoutMilliseconds).andThen(ask)
+  return openJsonRpc(address, port, {}, timeoutMilliseconds).andThen(call)
 }
--- a/packages/ctl/src/changeDocument.ts
+++ b/packages/ctl/src/changeDocument.ts
@@ -1,12 +1,12 @@
 /**
- * Changes one document in the store by compare-and-swap, such that a lost answer is settled by
- * reading back and the loser of a race learns what won.
+ * Changes one document in the store by compare-and-swap. After a lost answer the swap is sent again, and
+ * its result shows whether the first one took effect. On a conflict the caller gets the current document.
  */
 import { ResultAsync, err, ok, type Result } from 'neverthrow'
 import type { StoredValue } from '@nutmegcourse/protocol'
 import type { StorePort, StorePortError } from './storePort.js'
 
-const MOST_ATTEMPTS = 5
+const MAX_ATTEMPTS = 5
 
 export type ChangeError =
   | { readonly kind: 'conflict'; readonly current: StoredValue | null }
@@ -17,7 +17,7 @@
   readonly key: string
   readonly expectedRevision: number
   readonly value: unknown
-  /** Whether a stored value is this change, or came after it and remembers it. */
+  /** Whether a stored value already contains this change, as the latest one or an earlier one. */
   readonly isContainedIn: (stored: unknown) => boolean
 }
 
@@ -26,16 +26,16 @@
 }
 
 /**
- * Sending the same swap again is safe: its expected revision lets it take effect at most once.
- * A conflict with a value that remembers the change is therefore an earlier attempt's success.
+ * Sending the same swap again is safe, as its expected revision lets it take effect at most once.
+ * A conflict with a value that contains the change therefore means that an earlier attempt succeeded.
  */
 async function attemptChange(store: StorePort, change: Change): Promise<Result<void, ChangeError>> {
-  let mayHaveHappened = false
+  let mayHaveTakenEffect = false
   let lastDetail = ''
-  for (let attempt = 0; attempt < MOST_ATTEMPTS; attempt += 1) {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
     const answer = await store.compareAndSwap(change.key, change.expectedRevision, change.value)
     if (answer.isErr()) {
-      mayHaveHappened ||= answer.error.kind === 'outcomeUnknown'
+      mayHaveTakenEffect ||= answer.error.kind === 'outcomeUnknown'
       lastDetail = answer.error.detail
       continue
     }
@@ -44,10 +44,10 @@
     if (change.isContainedIn(current?.value)) return ok(undefined)
     return err({ kind: 'conflict', current })
   }
-  return err({ kind: mayHaveHappened ? 'outcomeUnknown' : 'unreachable', detail: lastDetail })
+  return err({ kind: mayHaveTakenEffect ? 'outcomeUnknown' : 'unreachable', detail: lastDetail })
 }
 
-/** A reading never changes anything, so that each of its failures is plain unreachability. */
+/** A read changes nothing, so each of its failures is reported as `unreachable`. */
 export function readDocument(
   store: StorePort,
   key: string,
--- a/packages/ctl/src/commands/drainCommand.ts
+++ b/packages/ctl/src/commands/drainCommand.ts
@@ -1,4 +1,4 @@
-/** `drain`: marks a backend server as leaving, beside the platform's host list. */
+/** `drain`: marks a backend server as leaving, independently of the platform's host list. */
 import { DRAINS_KEY, type DrainList } from '@nutmegcourse/protocol'
 import type { BackendServerId } from '@nutmegcourse/shared'
 import { changeDocument, readDocument, type ChangeError } from '../changeDocument.js'
@@ -7,25 +7,25 @@
 
 export interface DrainRequest {
   readonly backendServer: BackendServerId
-  /** Takes the mark back. */
+  /** Removes the mark. */
   readonly undo: boolean
   readonly json: boolean
 }
 
-const MOST_RACES = 5
+const MAX_ATTEMPTS = 5
 
 export async function drainBackendServer(
   store: StorePort,
   request: DrainRequest,
 ): Promise<CommandResult> {
-  for (let race = 0; race < MOST_RACES; race += 1) {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
     const result = await drainOnce(store, request)
     if (result !== 'lostRace') return result
   }
   return fail(EXIT_CODES.conflict, 'other operators keep changing the drains; nothing was changed')
 }
 
-/** The mark is a member of a set, so that losing a race is mended by trying on the newer set. */
+/** The mark is a member of a set, so after a conflict the change can be retried on the newer set. */
 async function drainOnce(
   store: StorePort,
   request: DrainRequest,
--- a/packages/ctl/src/commands/explainCommand.ts
+++ b/packages/ctl/src/commands/explainCommand.ts
@@ -1,4 +1,4 @@
-/** `explain`: why work went where it went, and what the fleet did at the last change of primary. */
+/** `explain`: how a class or session is routed, and the steps of the last change of primary. */
 import type {
   AgentExplainResult,
   AgentExplainRoutingResult,
@@ -19,17 +19,17 @@
   const { subject, name, json } = request
   if (subject === 'database') {
     const result = await agent.explain(databaseId(name))
-    return result.match(answer => present(answer, json, formatStory), complain)
+    return result.match(answer => formatResult(answer, json, formatExplanation), agentUnreachable)
   }
   const result = await agent.explainRouting(
     subject === 'class'
       ? { kind: 'class', name: className(name) }
       : { kind: 'session', name: sessionId(name) },
   )
-  return result.match(answer => present(answer, json, formatRouting), complain)
+  return result.match(answer => formatResult(answer, json, formatRouting), agentUnreachable)
 }
 
-function present<Answer>(
+function formatResult<Answer>(
   answer: Answer,
   json: boolean,
   format: (answer: Answer) => readonly string[],
@@ -42,32 +42,34 @@
   )
 }
 
-const complain = (error: AgentPortError): CommandResult =>
+const agentUnreachable = (error: AgentPortError): CommandResult =>
   fail(EXIT_CODES.unreachable, `agent unreachable: ${error.detail}`)
 
-function formatStory(answer: AgentExplainResult): readonly string[] {
+function formatExplanation(answer: AgentExplainResult): readonly string[] {
   const { database, record, events, silentPeers } = answer
   if (record === null) return [`${database}: this agent knows no such database`]
-  const head = `${database}: term ${record.term}, primary ${record.primary ?? 'none'}, ${record.phase.kind}`
-  const silent = silentPeers.map(peer => `(${peer} gave no answer; its part may be missing)`)
-  return [head, ...formatEvents(events), ...silent]
+  const summary = `${database}: term ${record.term}, primary ${record.primary ?? 'none'}, ${record.phase.kind}`
+  const silentPeerLines = silentPeers.map(
+    peer => `(${peer} gave no answer; its part may be missing)`,
+  )
+  return [summary, ...formatEvents(events), ...silentPeerLines]
 }
 
-/** Times are told from the first event of the story on, in milliseconds. */
+/** Times are in milliseconds since the first event of the change. */
 function formatEvents(events: readonly ExplainedEvent[]): readonly string[] {
-  const story = lastChange(events)
-  const [first] = story
+  const lastChange = eventsOfLastChange(events)
+  const [first] = lastChange
   if (first === undefined) return ['no change of primary is remembered']
   const start = `from ${new Date(first.at).toISOString()}:`
-  const steps = story.map(({ at, entryHost, step, term, detail }) => {
+  const steps = lastChange.map(({ at, entryHost, step, term, detail }) => {
     const offset = `+${at - first.at} ms`.padStart(10)
     return `${offset}  ${entryHost}  ${step} (term ${term}) ${detail}`
   })
   return [start, ...steps]
 }
 
-/** Terms may leave numbers out, so that the end of the change before marks the beginning. */
-function lastChange(events: readonly ExplainedEvent[]): readonly ExplainedEvent[] {
+/** Term numbers may have gaps, so a change begins after the end of the previous one. */
+function eventsOfLastChange(events: readonly ExplainedEvent[]): readonly ExplainedEvent[] {
   const newestTerm = Math.max(0, ...events.map(event => event.term))
   const isEarlierEnd = (event: ExplainedEvent): boolean =>
     event.step === 'completed' && event.term < newestTerm
@@ -76,10 +78,10 @@
 
 function formatRouting(answer: AgentExplainRoutingResult): readonly string[] {
   const { entryHost, explanations, silentProxies } = answer
-  const told = explanations.flatMap(({ database, lines }) => [
+  const lineGroups = explanations.flatMap(({ database, lines }) => [
     `${database}:`,
     ...lines.map(line => `  ${line}`),
   ])
   const silent = silentProxies === 0 ? [] : [`(${silentProxies} proxies gave no answer)`]
-  return [`as the proxies of ${entryHost} see it`, ...told, ...silent]
+  return [`as the proxies of ${entryHost} see it`, ...lineGroups, ...silent]
 }
--- a/packages/ctl/src/commands/logsCommand.ts
+++ b/packages/ctl/src/commands/logsCommand.ts
@@ -1,7 +1,7 @@
-/** `logs`: what the entry hosts' own lines tell of one request, one change of primary, or all together. */
+/** `logs`: finds one request or change of primary in the logs of entry hosts, or summarizes them. */
 import { EXIT_CODES, fail, succeed, type CommandResult } from '../exitCode.js'
 
-export type LogsQuestion =
+export type LogsQuery =
   | { readonly kind: 'request'; readonly id: string }
   | { readonly kind: 'change'; readonly service: string }
   | { readonly kind: 'summary' }
@@ -13,7 +13,7 @@
   readonly fields: Readonly<Record<string, unknown>>
 }
 
-/** Events that tell of changes of primary, for any service that they name. */
+/** Events of a change of primary; each names the service in a field. */
 const CHANGE_EVENTS: ReadonlySet<string> = new Set([
   'primary_suspected',
   'primary_believed',
@@ -30,7 +30,7 @@
   'change_given_up',
 ])
 
-/** Fields of every line, shown in their own places. */
+/** Fields that every line has; they are left out of the listed fields. */
 const COMMON_FIELDS: ReadonlySet<string> = new Set([
   'message',
   'timestamp',
@@ -40,19 +40,19 @@
   'process',
 ])
 
-export function readLogs(text: string, question: LogsQuestion, json: boolean): CommandResult {
+export function readLogs(text: string, query: LogsQuery, json: boolean): CommandResult {
   const lines = text.split('\n').map(readLine).filter(isPresent)
   if (lines.length === 0) return fail(EXIT_CODES.usage, 'no line of an entry host in the input')
-  if (question.kind === 'summary') return summarize(lines, json)
-  const story = lines.filter(line => belongs(line, question)).sort(byTime)
-  if (story.length === 0) {
-    return fail(EXIT_CODES.usage, `no line about ${nameOf(question)} in ${lines.length} lines`)
+  if (query.kind === 'summary') return summarize(lines, json)
+  const matchingLines = lines.filter(line => matches(line, query)).sort(byTime)
+  if (matchingLines.length === 0) {
+    return fail(EXIT_CODES.usage, `no line about ${describeQuery(query)} in ${lines.length} lines`)
   }
-  if (json) return succeed(`${JSON.stringify(story)}\n`)
-  return succeed(story.map(line => `${formatLine(line)}\n`).join(''))
+  if (json) return succeed(`${JSON.stringify(matchingLines)}\n`)
+  return succeed(matchingLines.map(line => `${formatLine(line)}\n`).join(''))
 }
 
-/** Whatever stands before the object, such as a collector's own time, is passed over. */
+/** Text before the JSON object, such as a log collector's timestamp, is skipped. */
 function readLine(text: string): LogLine | null {
   const start = text.indexOf('{')
   if (start < 0) return null
@@ -68,14 +68,14 @@
     const at = typeof timestamp === 'string' ? timestamp : ''
     return { at, host: entryHost, event: message, fields }
   } catch {
-    // A line of another program, or one that was cut off: not of an entry host.
+    // A line of another program, or a truncated one.
     return null
   }
 }
 
-function belongs(line: LogLine, question: Exclude<LogsQuestion, { kind: 'summary' }>): boolean {
-  if (question.kind === 'request') return line.fields.request === question.id
-  return CHANGE_EVENTS.has(line.event) && line.fields.service === question.service
+function matches(line: LogLine, query: Exclude<LogsQuery, { kind: 'summary' }>): boolean {
+  if (query.kind === 'request') return line.fields.request === query.id
+  return CHANGE_EVENTS.has(line.event) && line.fields.service === query.service
 }
 
 function summarize(lines: readonly LogLine[], json: boolean): CommandResult {
@@ -93,15 +93,15 @@
 }
 
 function formatLine({ at, host, event, fields }: LogLine): string {
-  const told = Object.entries(fields).map(([name, value]) =>
+  const formattedFields = Object.entries(fields).map(([name, value]) =>
     typeof value === 'string' ? `${name}=${value}` : `${name}=${JSON.stringify(value)}`,
   )
-  return `${at}  ${host}  ${event}  ${told.join(' ')}`
+  return `${at}  ${host}  ${event}  ${formattedFields.join(' ')}`
 }
 
 const byTime = (left: LogLine, right: LogLine): number => left.at.localeCompare(right.at)
 
-const nameOf = (question: Exclude<LogsQuestion, { kind: 'summary' }>): string =>
-  question.kind === 'request' ? `request ${question.id}` : `service ${question.service}`
+const describeQuery = (query: Exclude<LogsQuery, { kind: 'summary' }>): string =>
+  query.kind === 'request' ? `request ${query.id}` : `service ${query.service}`
 
 const isPresent = <Value>(value: Value | null): value is Value => value !== null
--- a/packages/ctl/src/commands/statusCommand.ts
+++ b/packages/ctl/src/commands/statusCommand.ts
@@ -1,4 +1,4 @@
-/** `status`: the fleet as one agent sees it. */
+/** `status`: the state of the fleet as known to one agent. */
 import type { AgentStatusResult, GroupRecord } from '@nutmegcourse/protocol'
 import type { AgentPort } from '../agentPort.js'
 import { EXIT_CODES, fail, succeed, type CommandResult } from '../exitCode.js'
@@ -32,8 +32,8 @@
 
 function describeTargets(status: AgentStatusResult): string {
   if (status.targetsVersion === null) return 'none known'
-  const doubt = status.targetsConfirmed ? '' : ', can not be confirmed as the newest'
-  return `version ${status.targetsVersion}${doubt}`
+  const confirmationNote = status.targetsConfirmed ? '' : ', can not be confirmed as the newest'
+  return `version ${status.targetsVersion}${confirmationNote}`
 }
 
 function describeGroup(group: GroupRecord): string {
--- a/packages/ctl/src/commands/targetsCommands.ts
+++ b/packages/ctl/src/commands/targetsCommands.ts
@@ -1,4 +1,4 @@
-/** `apply`, `get` and `diff`: the operators' targets in the store. */
+/** `apply`, `get` and `diff`: change and read the operators' targets in the store. */
 import { stringify } from 'yaml'
 import { readTargets, formatSettingsError } from '@nutmegcourse/settings'
 import {
@@ -17,11 +17,11 @@
   readonly file: string
   readonly changedBy: string
   readonly changeId: string
-  /** Refuse unless this version is in force; null takes whatever is. */
+  /** Refuse unless this version is in force; null accepts any. */
   readonly expectVersion: number | null
   /**
-   * The newest version that an agent knows; 0 when none could be asked. A store that came back with
-   * an older value would otherwise give out a version number that the fleet has seen and ignores.
+   * The newest version that the agent knows; 0 if it did not answer. After a restore of the store to an
+   * older value, the next version would otherwise be one that the fleet has already seen and ignores.
    */
   readonly fleetVersion: number
   readonly json: boolean
@@ -46,7 +46,7 @@
     key: TARGETS_KEY,
     expectedRevision: revision,
     value: next,
-    isContainedIn: stored => remembersChange(versionedTargetsOf(stored), request.changeId),
+    isContainedIn: stored => containsChange(versionedTargetsOf(stored), request.changeId),
   })
   if (changed.isErr()) return describeChangeError(changed.error, read.value)
   return describeApplied(inForce, next, request.json)
@@ -74,7 +74,7 @@
   const lines = describeDifference(inForce?.targets ?? null, read.value)
   const output = request.json ? `${JSON.stringify({ differences: lines })}\n` : asText(lines)
   const exitCode = lines.length === 0 ? EXIT_CODES.success : EXIT_CODES.different
-  return { exitCode, output, complaint: '' }
+  return { exitCode, output, errorOutput: '' }
 }
 
 function nextVersion(
@@ -92,11 +92,11 @@
   }
 }
 
-function remembersChange(stored: VersionedTargets | null, changeId: string): boolean {
+function containsChange(stored: VersionedTargets | null, changeId: string): boolean {
   return stored !== null && [...stored.recentChangeIds, stored.changeId].includes(changeId)
 }
 
-/** What this program wrote; anything else under the key counts as nothing in force. */
+/** A document written by this program; with any other value under the key, no targets are in force. */
 function versionedTargetsOf(stored: unknown): VersionedTargets | null {
   const isDocument = typeof stored === 'object' && stored !== null && 'targets' in stored
   return isDocument ? (stored as VersionedTargets) : null
--- a/packages/ctl/src/exitCode.ts
+++ b/packages/ctl/src/exitCode.ts
@@ -1,4 +1,4 @@
-/** What nutmegcoursectl's exit status tells a script. docs/OPERATIONS.md lists the same. */
+/** The exit statuses of nutmegcoursectl, for scripts. docs/OPERATIONS.md lists the same. */
 export const EXIT_CODES = {
   success: 0,
   /** `diff` found differences. */
@@ -8,7 +8,7 @@
   invalidDocument: 3,
   /** Another operator changed the same document first; nothing was changed. */
   conflict: 4,
-  /** The store or the agent can not be reached; nothing was changed. */
+  /** The store or the agent cannot be reached; nothing was changed. */
   unreachable: 5,
   /** The change may or may not be in force: read it back with `get`. */
   outcomeUnknown: 6,
@@ -16,23 +16,23 @@
 
 export type ExitCode = (typeof EXIT_CODES)[keyof typeof EXIT_CODES]
 
-/** What a command prints and exits with. */
+/** The output and the exit status of a command. */
 export interface CommandResult {
   readonly exitCode: ExitCode
   /** For standard output. */
   readonly output: string
   /** For standard error. */
-  readonly complaint: string
+  readonly errorOutput: string
 }
 
 export const succeed = (output: string): CommandResult => ({
   exitCode: EXIT_CODES.success,
   output,
-  complaint: '',
+  errorOutput: '',
 })
 
-export const fail = (exitCode: ExitCode, complaint: string): CommandResult => ({
+export const fail = (exitCode: ExitCode, errorOutput: string): CommandResult => ({
   exitCode,
   output: '',
-  complaint,
+  errorOutput,
 })
--- a/packages/ctl/src/main.ts
+++ b/packages/ctl/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** nutmegcoursectl: how operators drive the fleet. */
+/** Entry point of `nutmegcoursectl`, the operators' command-line tool. */
 import { randomUUID } from 'node:crypto'
 import { readFile } from 'node:fs/promises'
 import { userInfo } from 'node:os'
@@ -7,7 +7,7 @@
 import { ResultAsync, okAsync } from 'neverthrow'
 import { ctlSettingsSchema, formatSettingsError, readYamlFile } from '@nutmegcourse/settings'
 import { EXIT_CODES, fail, succeed, type CommandResult } from './exitCode.js'
-import { readLogs, type LogsQuestion } from './commands/logsCommand.js'
+import { readLogs, type LogsQuery } from './commands/logsCommand.js'
 import { parseCommand } from './parseCommand.js'
 import { runCommand, type CommandContext, type FleetCommand } from './runCommand.js'
 import { GENERAL_USAGE } from './usage.js'
@@ -15,12 +15,12 @@
 const SETTINGS_VARIABLE = 'NUTMEGCOURSECTL_SETTINGS'
 const STANDARD_INPUT = '-'
 
-async function main(words: readonly string[]): Promise<CommandResult> {
-  const parsed = parseCommand(words)
+async function main(args: readonly string[]): Promise<CommandResult> {
+  const parsed = parseCommand(args)
   if (parsed.isErr()) return fail(EXIT_CODES.usage, `${parsed.error}\n\n${GENERAL_USAGE}`)
   const { command, json } = parsed.value
   if (command.kind === 'help') return succeed(command.text)
-  if (command.kind === 'logs') return readLogFiles(command.files, command.question, json)
+  if (command.kind === 'logs') return readLogFiles(command.files, command.query, json)
   const settingsFile = parsed.value.settingsFile ?? process.env[SETTINGS_VARIABLE]
   if (settingsFile === undefined) {
     return fail(EXIT_CODES.usage, `no settings: give --settings FILE or set ${SETTINGS_VARIABLE}`)
@@ -41,12 +41,12 @@
 
 async function readLogFiles(
   files: readonly string[],
-  question: LogsQuestion,
+  query: LogsQuery,
   json: boolean,
 ): Promise<CommandResult> {
   const texts = await readAll(Promise.all(files.map(readText)))
   if (texts.isErr()) return fail(EXIT_CODES.usage, texts.error)
-  return readLogs(texts.value.join('\n'), question, json)
+  return readLogs(texts.value.join('\n'), query, json)
 }
 
 function readOperand(command: FleetCommand): ResultAsync<string, string> {
@@ -64,5 +64,5 @@
 
 const result = await main(process.argv.slice(2))
 process.stdout.write(result.output)
-if (result.complaint !== '') process.stderr.write(`${result.complaint.trimEnd()}\n`)
+if (result.errorOutput !== '') process.stderr.write(`${result.errorOutput.trimEnd()}\n`)
 process.exitCode = result.exitCode
--- a/packages/ctl/src/parseCommand.ts
+++ b/packages/ctl/src/parseCommand.ts
@@ -1,8 +1,8 @@
-/** Turns the words of the command line into one typed command. */
+/** Parses the command line into one typed command. */
 import { parseArgs, type ParseArgsConfig } from 'node:util'
 import { err, ok, type Result } from 'neverthrow'
 import { backendServerId, type BackendServerId } from '@nutmegcourse/shared'
-import type { LogsQuestion } from './commands/logsCommand.js'
+import type { LogsQuery } from './commands/logsCommand.js'
 import { COMMAND_USAGE, GENERAL_USAGE, isCommandName, type CommandName } from './usage.js'
 
 export type ExplainSubject = 'class' | 'session' | 'database'
@@ -21,7 +21,7 @@
   | { readonly kind: 'diff'; readonly file: string }
   | { readonly kind: 'status' }
   | { readonly kind: 'explain'; readonly subject: ExplainSubject; readonly name: string }
-  | { readonly kind: 'logs'; readonly question: LogsQuestion; readonly files: readonly string[] }
+  | { readonly kind: 'logs'; readonly query: LogsQuery; readonly files: readonly string[] }
   | { readonly kind: 'drain'; readonly backendServer: BackendServerId; readonly undo: boolean }
 
 export interface CommandLine {
@@ -48,8 +48,8 @@
   readonly undo?: boolean | undefined
 }
 
-/** Options that only some commands take; the others refuse them. */
-const OWN_OPTIONS: Readonly<Record<CommandName, readonly (keyof Options)[]>> = {
+/** Options of single commands; the other commands refuse them. */
+const COMMAND_OPTIONS: Readonly<Record<CommandName, readonly (keyof Options)[]>> = {
   apply: ['expect-version', 'as'],
   get: [],
   diff: [],
@@ -61,9 +61,9 @@
 
 const COMMON_OPTIONS: readonly (keyof Options)[] = ['settings', 'json', 'help']
 
-/** The error is a line for standard error. */
-export function parseCommand(words: readonly string[]): Result<CommandLine, string> {
-  return readWords(words).andThen(({ values, positionals }): Result<CommandLine, string> => {
+/** The error is a message for standard error. */
+export function parseCommand(args: readonly string[]): Result<CommandLine, string> {
+  return readArguments(args).andThen(({ values, positionals }): Result<CommandLine, string> => {
     const [name, ...operands] = positionals
     const shared = { settingsFile: values.settings ?? null, json: values.json ?? false }
     if (name === undefined || !isCommandName(name)) {
@@ -80,20 +80,20 @@
   })
 }
 
-function readWords(
-  words: readonly string[],
+function readArguments(
+  args: readonly string[],
 ): Result<{ readonly values: Options; readonly positionals: readonly string[] }, string> {
   try {
-    return ok(parseArgs({ args: [...words], options: OPTIONS, allowPositionals: true }))
+    return ok(parseArgs({ args: [...args], options: OPTIONS, allowPositionals: true }))
   } catch (error) {
     return err(error instanceof Error ? error.message : String(error))
   }
 }
 
 function checkOptions(name: CommandName, values: Options): Result<void, string> {
-  const allowed = [...COMMON_OPTIONS, ...OWN_OPTIONS[name]]
-  const foreign = (Object.keys(values) as (keyof Options)[]).find(key => !allowed.includes(key))
-  return foreign === undefined ? ok(undefined) : err(`${name} does not take --${foreign}`)
+  const allowed = [...COMMON_OPTIONS, ...COMMAND_OPTIONS[name]]
+  const unsupported = (Object.keys(values) as (keyof Options)[]).find(key => !allowed.includes(key))
+  return unsupported === undefined ? ok(undefined) : err(`${name} does not take --${unsupported}`)
 }
 
 function readCommand(
@@ -106,15 +106,15 @@
       return readApply(operands, values)
     case 'get':
     case 'status':
-      return takeOperands(name, operands, 0).map(() => ({ kind: name }))
+      return checkOperands(name, operands, 0).map(() => ({ kind: name }))
     case 'diff':
-      return takeOperands(name, operands, 1).map(([file = '']) => ({ kind: 'diff', file }))
+      return checkOperands(name, operands, 1).map(([file = '']) => ({ kind: 'diff', file }))
     case 'explain':
       return readExplain(operands)
     case 'logs':
-      return readLogsQuestion(operands)
+      return readLogsCommand(operands)
     case 'drain':
-      return takeOperands(name, operands, 1).map(([server = '']) => ({
+      return checkOperands(name, operands, 1).map(([server = '']) => ({
         kind: 'drain',
         backendServer: backendServerId(server),
         undo: values.undo ?? false,
@@ -127,7 +127,7 @@
   if (versionText !== undefined && !/^\d+$/.test(versionText)) {
     return err(`--expect-version takes a whole number, not ${versionText}`)
   }
-  return takeOperands('apply', operands, 1).map(([file = '']) => ({
+  return checkOperands('apply', operands, 1).map(([file = '']) => ({
     kind: 'apply',
     file,
     expectVersion: versionText === undefined ? null : Number(versionText),
@@ -136,7 +136,7 @@
 }
 
 function readExplain(operands: readonly string[]): Result<Command, string> {
-  return takeOperands('explain', operands, 2).andThen(
+  return checkOperands('explain', operands, 2).andThen(
     ([subjectText = '', name = '']): Result<Command, string> => {
       const subject = SUBJECTS.find(candidate => candidate === subjectText)
       if (subject !== undefined) return ok({ kind: 'explain', subject, name })
@@ -146,10 +146,10 @@
 }
 
 /** `logs request ID FILE...`, `logs change SERVICE FILE...` or `logs summary FILE...`. */
-function readLogsQuestion(operands: readonly string[]): Result<Command, string> {
+function readLogsCommand(operands: readonly string[]): Result<Command, string> {
   const [subject, ...rest] = operands
   const [name, ...others] = rest
-  const question: LogsQuestion | null =
+  const query: LogsQuery | null =
     subject === 'summary'
       ? { kind: 'summary' }
       : subject === 'request' && name !== undefined
@@ -157,13 +157,13 @@
         : subject === 'change' && name !== undefined
           ? { kind: 'change', service: name }
           : null
-  if (question === null) return err('logs takes request ID, change SERVICE or summary')
-  const files = question.kind === 'summary' ? rest : others
+  if (query === null) return err('logs takes request ID, change SERVICE or summary')
+  const files = query.kind === 'summary' ? rest : others
   if (files.length === 0) return err('logs takes one FILE or more')
-  return ok({ kind: 'logs', question, files })
+  return ok({ kind: 'logs', query, files })
 }
 
-function takeOperands(
+function checkOperands(
   name: CommandName,
   operands: readonly string[],
   wanted: number,
--- a/packages/ctl/src/runCommand.ts
+++ b/packages/ctl/src/runCommand.ts
@@ -1,4 +1,4 @@
-/** Carries out one parsed command. */
+/** Executes one parsed command. */
 import type { CtlSettings } from '@nutmegcourse/settings'
 import { drainBackendServer } from './commands/drainCommand.js'
 import { explain } from './commands/explainCommand.js'
@@ -19,7 +19,7 @@
   readonly changeId: string
 }
 
-/** Commands that need the store or an agent, and so settings. */
+/** Commands that access the store or an agent, and therefore need settings. */
 export type FleetCommand = Exclude<Command, { kind: 'logs' }>
 
 export async function runCommand(
@@ -59,7 +59,7 @@
   }
 }
 
-/** Asking is worth a try only: the store decides, and the fleet mends a store that is behind. */
+/** Best effort, 0 without an answer: the store decides, and the fleet repairs a store that lags. */
 async function newestVersionOf(agent: AgentPort): Promise<number> {
   const known = await agent.getTargets()
   return known.map(({ targets }) => targets?.version ?? 0).unwrapOr(0)
--- a/packages/ctl/src/storeOverRpc.ts
+++ b/packages/ctl/src/storeOverRpc.ts
@@ -1,16 +1,16 @@
-/** The store port over JSON-RPC; tells calls that never arrived from those that may have. */
+/** Implements the store port over JSON-RPC; separates calls that did not run from those that may have. */
 import type { TransportError } from '@nutmegcourse/transport'
 import type { StoreCompareAndSwapResult, StoredValue } from '@nutmegcourse/protocol'
 import type { ResultAsync } from 'neverthrow'
-import { callOnce, type Place } from './callOnce.js'
+import { callOnce, type RpcEndpoint } from './callOnce.js'
 import type { StorePort, StorePortError } from './storePort.js'
 
 export class StoreOverRpc implements StorePort {
-  readonly #place: Place
+  readonly #endpoint: RpcEndpoint
   readonly #timeoutMilliseconds: number
 
-  constructor(place: Place, timeoutMilliseconds: number) {
-    this.#place = place
+  constructor(endpoint: RpcEndpoint, timeoutMilliseconds: number) {
+    this.#endpoint = endpoint
     this.#timeoutMilliseconds = timeoutMilliseconds
   }
 
@@ -27,7 +27,7 @@
   }
 
   #call<Answer>(method: string, params: unknown): ResultAsync<Answer, StorePortError> {
-    return callOnce<Answer>(this.#place, method, params, this.#timeoutMilliseconds).mapErr(
+    return callOnce<Answer>(this.#endpoint, method, params, this.#timeoutMilliseconds).mapErr(
       describeError,
     )
   }
--- a/packages/ctl/src/storePort.ts
+++ b/packages/ctl/src/storePort.ts
@@ -1,8 +1,8 @@
-/** The two store calls that commands need; the transport's client and the tests' fake both fit. */
+/** The two calls of the store that commands use; tests implement them with a fake store. */
 import type { ResultAsync } from 'neverthrow'
 import type { StoreCompareAndSwapResult, StoredValue } from '@nutmegcourse/protocol'
 
-/** `outcomeUnknown` only when a change may have taken effect although no answer came. */
+/** `outcomeUnknown`: no answer arrived, but a change may have taken effect. */
 export interface StorePortError {
   readonly kind: 'unreachable' | 'outcomeUnknown'
   readonly detail: string
--- a/packages/ctl/src/targetsDifference.ts
+++ b/packages/ctl/src/targetsDifference.ts
@@ -1,4 +1,4 @@
-/** What differs between two documents of targets, a line each, for people. */
+/** Describes the differences between two targets documents for operators, one per line. */
 import type { ClassTargets, Targets } from '@nutmegcourse/protocol'
 
 type Field = keyof Omit<ClassTargets, 'name'>
@@ -20,11 +20,11 @@
 }
 
 function describeClasses(before: Targets, after: Targets): readonly string[] {
-  const old = new Map(before.classes.map(entry => [entry.name, entry]))
-  const fresh = new Map(after.classes.map(entry => [entry.name, entry]))
-  const removed = before.classes.filter(entry => !fresh.has(entry.name))
+  const oldClasses = new Map(before.classes.map(entry => [entry.name, entry]))
+  const newClasses = new Map(after.classes.map(entry => [entry.name, entry]))
+  const removed = before.classes.filter(entry => !newClasses.has(entry.name))
   const kept = after.classes.flatMap(entry => {
-    const previous = old.get(entry.name)
+    const previous = oldClasses.get(entry.name)
     return previous === undefined ? [`+ class ${entry.name}`] : describeFields(previous, entry)
   })
   return [...removed.map(entry => `- class ${entry.name}`), ...kept]
--- a/packages/ctl/src/usage.ts
+++ b/packages/ctl/src/usage.ts
@@ -1,34 +1,34 @@
-/** The help texts. */
+/** The help texts of nutmegcoursectl. */
 
 export const GENERAL_USAGE = `Usage: nutmegcoursectl COMMAND [OPTIONS]
 
 Commands:
-  apply FILE        put the targets in FILE in force
+  apply FILE        apply the targets in FILE to the whole fleet
   get               print the targets in force
-  diff FILE         what FILE would change
-  status            entry hosts, databases, targets in force, refusals
-  explain WHAT NAME why work went where it went: class, session or database
-  logs WHAT FILE... what entry hosts' logs tell of a request or a change of primary
-  drain SERVER      give a backend server no new work
+  diff FILE         print what applying FILE would change
+  status            print entry hosts, databases, targets in force, refusals
+  explain WHAT NAME explain routing (class, session) or the last change of primary (database)
+  logs WHAT FILE... search or summarize the logs of entry hosts
+  drain SERVER      stop assigning new work to a backend server
 
 Options of every command:
-  --settings FILE   where the store and an agent are (YAML; or NUTMEGCOURSECTL_SETTINGS)
-  --json            one JSON value on standard output
-  --help            this text, or a command's own
+  --settings FILE   addresses of the store and an agent (YAML; default: NUTMEGCOURSECTL_SETTINGS)
+  --json            print one JSON value to standard output
+  --help            print this text, or the help of a command
 
-FILE may be - for standard input.
+If FILE is -, standard input is read.
 
-Exit status: 0 done; 1 diff found differences; 2 usage; 3 the document has mistakes;
-4 another operator was first; 5 unreachable, nothing changed; 6 outcome unknown.
+Exit status: 0 success; 1 diff found differences; 2 usage error; 3 invalid document;
+4 conflict with another change; 5 unreachable, nothing changed; 6 outcome unknown.
 `
 
 export const COMMAND_USAGE = {
   apply: `Usage: nutmegcoursectl apply FILE [--expect-version N] [--as NAME]
 
-Checks FILE whole and puts it in force everywhere. Nothing is changed by a document with mistakes.
+Validates FILE and applies it to the whole fleet. An invalid document changes nothing.
 
   --expect-version N  refuse unless version N is in force
-  --as NAME           who changes it (default: the login name)
+  --as NAME           name recorded as the author of the change (default: the login name)
 
 Examples:
   nutmegcoursectl apply targets.yaml
@@ -51,7 +51,7 @@
 `,
   explain: `Usage: nutmegcoursectl explain class|session|database NAME [--json]
 
-For a database: its last change of primary, step by step.
+For a database, prints the steps of its last change of primary.
 
 Examples:
   nutmegcoursectl explain database sched-1
@@ -61,8 +61,8 @@
        nutmegcoursectl logs change SERVICE FILE... [--json]
        nutmegcoursectl logs summary FILE... [--json]
 
-Reads the lines that entry hosts wrote (docs/LOGS.md), of any number of hosts, in any order. Needs no
-settings. Times are the hosts' own, which may differ by some milliseconds.
+Reads log lines of any number of entry hosts, in any order (format: docs/LOGS.md). Needs no settings.
+Times are from the clocks of the hosts, which may differ by some milliseconds.
 
 Examples:
   cat host-*.log | nutmegcoursectl logs request 5c0e7a21d94b36f8 -
@@ -70,7 +70,7 @@
 `,
   drain: `Usage: nutmegcoursectl drain SERVER [--undo] [--json]
 
-A draining primary is moved by plan. Work in flight is finished.
+A draining primary is replaced by a planned change of primary. Work in progress is completed.
 
 Examples:
   nutmegcoursectl drain sched-1-a
--- a/packages/observability/__tests__/boundedOutput.spec.ts
+++ b/packages/observability/__tests__/boundedOutput.spec.ts
@@ -5,31 +5,31 @@
 import { BoundedOutput } from '../src/index.js'
 
 describe('BoundedOutput', () => {
-  // Whoever reads the logs stops reading. The service must not stop with it, nor keep all lines in
-  // memory until it is killed for that.
-  it('drops lines that nobody reads, and counts them', () => {
-    const stuck = new Writable({ write: () => undefined })
-    const output = new BoundedOutput(stuck)
+  // The reader of the logs stops reading. The service must neither block nor keep all lines in memory
+  // until it is killed for lack of memory.
+  it('drops and counts lines that are not read', () => {
+    const blocked = new Writable({ write: () => undefined })
+    const output = new BoundedOutput(blocked)
     const line = `${'x'.repeat(1023)}\n`
     for (let lines = 0; lines < 1000; lines += 1) output.write(line)
-    expect(stuck.writableLength < 300_000).toEqual(true)
+    expect(blocked.writableLength < 300_000).toEqual(true)
     expect(output.dropped > 700 && output.dropped < 1000).toEqual(true)
   })
 
-  it('does not wait for a full pipe', async () => {
+  it('does not block on a full pipe', async () => {
     const module = new URL('../src/index.js', import.meta.url).href
     const program = `
       const { openStandardOutput } = await import('${module}')
       const output = openStandardOutput()
       for (let lines = 0; lines < 2000; lines += 1) output.write('y'.repeat(1023) + '\\n')
-      process.stderr.write('went on ' + String(output.dropped > 0))
+      process.stderr.write('continued ' + String(output.dropped > 0))
       process.exit(0)`
     const child = spawn(process.execPath, ['--input-type=module', '-e', program], {
       stdio: ['ignore', 'pipe', 'pipe'],
     })
-    let said = ''
-    child.stderr.on('data', (chunk: Buffer) => (said += chunk.toString()))
+    let errorOutput = ''
+    child.stderr.on('data', (chunk: Buffer) => (errorOutput += chunk.toString()))
     const code = await new Promise(resolve => child.on('exit', resolve))
-    expect([code, said]).toEqual([0, 'went on true'])
+    expect([code, errorOutput]).toEqual([0, 'continued true'])
   })
 })
--- a/packages/observability/src/boundedOutput.ts
+++ b/packages/observability/src/boundedOutput.ts
@@ -1,13 +1,13 @@
 /**
- * Standard output that never makes the process wait. Node writes to pipes synchronously, so a reader
- * that stops would stop the service with it; here lines beyond a bound are dropped and counted.
+ * Standard output that never blocks the process. Node writes to pipes synchronously, so a reader that
+ * stops reading would block the service. Here lines beyond a limit are dropped and counted instead.
  */
 import { fstatSync } from 'node:fs'
 import { Socket } from 'node:net'
 import { Writable } from 'node:stream'
 
-/** Unread bytes that are kept. A few seconds of lines at the budget of all events. */
-const MOST_UNREAD_BYTES = 262_144
+/** Maximum size of the unread output: a few seconds of lines if all events use their whole budget. */
+const MAX_UNREAD_BYTES = 262_144
 
 const STANDARD_OUTPUT = 1
 
@@ -18,17 +18,17 @@
   constructor(target: Writable) {
     super({ decodeStrings: false })
     this.#target = target
-    // Whoever read the lines is gone; the service goes on without them.
+    // The reader closed its end; the service continues without it.
     target.on('error', () => undefined)
   }
 
-  /** Lines lost so far because nobody read fast enough. */
+  /** Number of lines dropped so far because the output was not read fast enough. */
   get dropped(): number {
     return this.#dropped
   }
 
   override _write(chunk: string | Buffer, _encoding: string, done: () => void): void {
-    if (this.#target.writableLength > MOST_UNREAD_BYTES || this.#target.destroyed) {
+    if (this.#target.writableLength > MAX_UNREAD_BYTES || this.#target.destroyed) {
       this.#dropped += 1
     } else {
       this.#target.write(chunk)
--- a/packages/observability/src/log.ts
+++ b/packages/observability/src/log.ts
@@ -1,4 +1,4 @@
-/** Structured logs: one JSON object a line. */
+/** Structured logs: one JSON object per line. */
 import type { Writable } from 'node:stream'
 import { createLogger, format, transports, type Logger } from 'winston'
 
@@ -10,7 +10,7 @@
   readonly zone: string
 }
 
-/** `stream` takes the lines in place of standard error. */
+/** Lines are written to `stream` if given, otherwise to standard error. */
 export function createLog(identity: LogIdentity, level: string, stream?: Writable): Log {
   const output =
     stream === undefined
@@ -21,7 +21,7 @@
     defaultMeta: identity,
     format: format.combine(format.timestamp(), format.json()),
   })
-  // winston's types give its own console transport as an interface beside the class it extends.
+  // winston's types declare the console transport as an interface, separate from the class that it extends.
   // eslint-disable-next-line @typescript-eslint/no-unsafe-class-instance-assignment
   return logger.add(output)
 }
--- a/packages/observability/src/metrics.ts
+++ b/packages/observability/src/metrics.ts
@@ -1,11 +1,11 @@
-/** Counters, kept in memory for `status` and sent as StatsD where settings name a place. */
+/** Counters, kept in memory for `status` and sent as StatsD if settings name an endpoint. */
 import { StatsD } from 'hot-shots'
 import type { CounterName } from '@nutmegcourse/shared'
 
-/** Not sent to when no place is set; the library warns of a port that is no port. */
-const STANDARD_STATSD_PORT = 8125
+/** Used without an endpoint, although nothing is sent then: the library warns about an invalid port. */
+const DEFAULT_STATSD_PORT = 8125
 
-export interface MetricsPlace {
+export interface MetricsEndpoint {
   readonly address: string
   readonly port: number
 }
@@ -14,12 +14,12 @@
   readonly #client: StatsD
   readonly #totals = new Map<string, number>()
 
-  constructor(place: MetricsPlace | undefined) {
+  constructor(endpoint: MetricsEndpoint | undefined) {
     this.#client = new StatsD({
-      host: place?.address ?? '127.0.0.1',
-      port: place?.port ?? STANDARD_STATSD_PORT,
+      host: endpoint?.address ?? '127.0.0.1',
+      port: endpoint?.port ?? DEFAULT_STATSD_PORT,
       prefix: 'nutmegcourse.',
-      mock: place === undefined,
+      mock: endpoint === undefined,
       errorHandler: () => undefined,
     })
   }
@@ -30,7 +30,7 @@
     this.#totals.set(key, (this.#totals.get(key) ?? 0) + amount)
   }
 
-  /** Totals since the process began, by `name{tag=value,...}`. */
+  /** Totals since the process started, by `name{tag=value,...}`. */
   totals(): Readonly<Record<string, number>> {
     return Object.fromEntries(this.#totals)
   }
--- a/packages/settings/__tests__/targetsDocument.spec.ts
+++ b/packages/settings/__tests__/targetsDocument.spec.ts
@@ -18,7 +18,7 @@
 `
 
 describe('readTargets', () => {
-  it('reads a whole document and fills what is left out', () => {
+  it('reads a document and fills in the defaults', () => {
     const targets = readTargets(GOOD, 'targets.yaml')._unsafeUnwrap()
     expect(targets.classes.map(entry => entry.idempotent)).toEqual([false, true])
     expect(targets.classes.map(entry => entry.replicaReadShare)).toEqual([0, 0.9])
@@ -36,7 +36,7 @@
       expected: ['targets.yaml:10: classes[1].backendServer: hosts can not be named here'],
     },
     {
-      name: 'several at once',
+      name: 'several mistakes',
       text: GOOD.replace('0.9', '1.5').replace('access: write', 'access: both'),
       expected: [
         'targets.yaml:4: classes[0].access',
@@ -44,14 +44,14 @@
       ],
     },
     {
-      name: 'a default of no class',
+      name: 'a default for an unknown class',
       text: GOOD.replace('class: supervisor_lookup', 'class: gallery'),
       expected: ['targets.yaml:13: defaults[0].class: no such class'],
     },
     { name: 'broken YAML', text: 'classes: [', expected: ['targets.yaml:1: (document)'] },
   ]
   for (const { name, text, expected } of mistakes) {
-    it(`tells the place of ${name}`, () => {
+    it(`reports the location of ${name}`, () => {
       const lines = formatSettingsError(readTargets(text, 'targets.yaml')._unsafeUnwrapErr()).split(
         '\n',
       )
--- a/packages/settings/src/processSettings.ts
+++ b/packages/settings/src/processSettings.ts
@@ -1,76 +1,92 @@
-/** Settings of each shipped process. A process learns its addresses and zone from here alone. */
+/** Settings schemas of the shipped programs. They are the only source of their addresses and zone. */
 import { z } from 'zod'
 import { availabilityZoneId, entryHostId, regionId } from '@nutmegcourse/shared'
 
 const port = z.int().min(0).max(65535)
-const span = (standard: number): z.ZodDefault<z.ZodInt> =>
-  z.int().min(1).max(3_600_000).default(standard)
+const duration = (defaultMilliseconds: number): z.ZodDefault<z.ZodInt> =>
+  z.int().min(1).max(3_600_000).default(defaultMilliseconds)
 
-const place = z.strictObject({
-  address: z.union([z.ipv4(), z.ipv6()], 'an IP address; names are not looked up'),
+const endpoint = z.strictObject({
+  address: z.union([z.ipv4(), z.ipv6()], 'must be an IP address; host names are not resolved'),
   port,
 })
 
 const entryHost = {
   entryHost: z.string().min(1).transform(entryHostId).describe('Name of this entry host.'),
-  zone: z.string().min(1).transform(availabilityZoneId).describe('Its availability zone.'),
-  region: z.string().min(1).transform(regionId).describe('The region of that zone.'),
+  zone: z
+    .string()
+    .min(1)
+    .transform(availabilityZoneId)
+    .describe('Availability zone of this entry host.'),
+  region: z.string().min(1).transform(regionId).describe('Region of the availability zone.'),
   logLevel: z
     .enum(['error', 'warn', 'info', 'debug'])
     .default('info')
-    .describe('Least severe lines that are logged.'),
-  metrics: place
+    .describe('Minimum severity of the lines that are logged.'),
+  metrics: endpoint
     .exactOptional()
-    .describe('Where counters go, as StatsD over UDP. Absent: counted, not sent.'),
+    .describe(
+      'StatsD endpoint (UDP) that counters are sent to. If absent, they are counted but not sent.',
+    ),
 }
 
 const backendUser = z
   .string()
   .min(1)
   .default('nutmegcourse')
-  .describe('User name on backend servers.')
+  .describe('User name for connections to backend servers.')
 
 export const proxySettingsSchema = z.strictObject({
   ...entryHost,
-  listen: place.describe('Where callers connect.'),
-  agent: place.describe("This entry host's agent."),
+  listen: endpoint.describe('Endpoint that callers connect to.'),
+  agent: endpoint.describe("Endpoint of this entry host's agent."),
   backendUser,
-  callerLimit: z.int().min(1).default(20_000).describe('Caller connections at a time.'),
-  connectTimeoutMilliseconds: span(1000).describe('Bound on connecting to a backend server.'),
-  questionTimeoutMilliseconds: span(1000).describe('Bound on a question for a log position.'),
-  drainTimeoutMilliseconds: span(30_000).describe(
-    'Longest graceful shutdown; what still runs then is cut and logged.',
+  callerLimit: z
+    .int()
+    .min(1)
+    .default(20_000)
+    .describe('Maximum number of open caller connections.'),
+  connectTimeoutMilliseconds: duration(1000).describe(
+    'Time limit for connecting to a backend server.',
+  ),
+  questionTimeoutMilliseconds: duration(1000).describe('Time limit for a query of a log position.'),
+  drainTimeoutMilliseconds: duration(30_000).describe(
+    'Time limit for a graceful shutdown; requests that still run then are aborted and logged.',
   ),
   messageLimitBytes: z
     .int()
     .min(1024)
     .default(16 * 1024 * 1024)
-    .describe('Largest message taken from a caller.'),
+    .describe('Maximum size of a message from a caller.'),
 })
 
 export const agentSettingsSchema = z.strictObject({
   ...entryHost,
-  listen: place.describe('Where other agents and nutmegcoursectl connect.'),
-  proxyListen: place.describe("Where this host's proxies connect; a loopback address."),
-  store: place.describe("The platform's key-value store."),
-  hostList: place.describe("The platform's host list."),
+  listen: endpoint.describe('Endpoint that other agents and nutmegcoursectl connect to.'),
+  proxyListen: endpoint.describe(
+    "Endpoint that this host's proxies connect to; a loopback address.",
+  ),
+  store: endpoint.describe("The platform's key-value store."),
+  hostList: endpoint.describe("The platform's host list."),
   backendUser,
-  watchIntervalMilliseconds: span(100).describe(
-    'How often a watched backend server is asked for its log position.',
+  watchIntervalMilliseconds: duration(100).describe(
+    'Interval at which the log position of a watched backend server is queried.',
+  ),
+  detectionMilliseconds: duration(400).describe(
+    'A primary that answers no watcher for this long may be replaced.',
   ),
-  detectionMilliseconds: span(400).describe(
-    'A primary that answers nobody for this long may be replaced.',
+  heartbeatIntervalMilliseconds: duration(1000).describe(
+    'Interval of the heartbeats between agents.',
   ),
-  heartbeatIntervalMilliseconds: span(1000).describe('How often agents tell each other they live.'),
-  hostListIntervalMilliseconds: span(1000).describe('How often the host list is read.'),
-  storeTimeoutMilliseconds: span(1000).describe('Bound on a call to the store.'),
+  hostListIntervalMilliseconds: duration(1000).describe('Interval at which the host list is read.'),
+  storeTimeoutMilliseconds: duration(1000).describe('Time limit for a call to the store.'),
 })
 
-/** Where nutmegcoursectl finds the platform's store and one agent, whichever is nearest. */
+/** Settings of nutmegcoursectl: the endpoints of the platform's store and of one agent. */
 export const ctlSettingsSchema = z.strictObject({
-  store: place.describe("The platform's key-value store."),
-  agent: place.describe('Any agent; the nearest is best.'),
-  timeoutMilliseconds: span(3000).describe('Bound on each call.'),
+  store: endpoint.describe("The platform's key-value store."),
+  agent: endpoint.describe('Endpoint of any agent, preferably the nearest.'),
+  timeoutMilliseconds: duration(3000).describe('Time limit for each call.'),
 })
 
 export type CtlSettings = z.infer<typeof ctlSettingsSchema>
--- a/packages/settings/src/readYaml.ts
+++ b/packages/settings/src/readYaml.ts
@@ -1,11 +1,11 @@
-/** Reads a YAML text against a zod schema and says where each mistake stands. */
+/** Parses YAML, validates it against a zod schema, and reports the location of each mistake. */
 import { readFile } from 'node:fs/promises'
 import { ResultAsync, err, ok, type Result } from 'neverthrow'
 import { LineCounter, isNode, parseDocument, type Document } from 'yaml'
 import { z } from 'zod'
 import type { SettingsError, SettingsMistake } from './settingsError.js'
 
-const SHOWN_VALUE_LENGTH = 60
+const MAX_SHOWN_VALUE_LENGTH = 60
 
 type Path = readonly PropertyKey[]
 
@@ -47,13 +47,13 @@
   lines: LineCounter,
 ): readonly SettingsMistake[] {
   if (issue.code !== 'unrecognized_keys')
-    return [mistakeAt(issue.path, issue.message, document, lines)]
+    return [createMistake(issue.path, issue.message, document, lines)]
   return issue.keys.map(key =>
-    mistakeAt([...issue.path, key], explainUnknownKey(key), document, lines),
+    createMistake([...issue.path, key], explainUnknownKey(key), document, lines),
   )
 }
 
-/** Operators declare targets only: how they are met is the fleet's own affair. */
+/** Operators declare targets only. Weights and hosts are rejected, as the fleet derives them. */
 function explainUnknownKey(key: string): string {
   if (/weight/i.test(key)) return 'weights can not be set: the fleet derives them from the targets'
   if (/host|server|address/i.test(key)) {
@@ -62,7 +62,7 @@
   return 'unknown key'
 }
 
-function mistakeAt(
+function createMistake(
   path: Path,
   message: string,
   document: Document,
@@ -75,7 +75,7 @@
   return {
     path: formatPath(path),
     line: range ? lines.linePos(range[0]).line : null,
-    value: value.slice(0, SHOWN_VALUE_LENGTH),
+    value: value.slice(0, MAX_SHOWN_VALUE_LENGTH),
     message,
   }
 }
--- a/packages/settings/src/settingsError.ts
+++ b/packages/settings/src/settingsError.ts
@@ -1,12 +1,12 @@
-/** Mistakes in a YAML document, all of them at once, each with its place. */
+/** All mistakes in a YAML document, each with its location. */
 export interface SettingsMistake {
   /** Path inside the document, such as `classes[2].latencyMilliseconds`. */
   readonly path: string
-  /** One-based; null when the place is not in the document, as for a missing key. */
+  /** One-based; null if the path is not in the document, as for a missing key. */
   readonly line: number | null
-  /** What stands there, shortened. */
+  /** The value found there, truncated. */
   readonly value: string
-  /** What is wrong, and what is allowed. */
+  /** What is wrong and what is allowed. */
   readonly message: string
 }
 
@@ -15,12 +15,12 @@
   readonly mistakes: readonly SettingsMistake[]
 }
 
-/** One line a mistake: `file:line: path: message (is: value)`. */
+/** One line per mistake: `file:line: path: message (is: value)`. */
 export function formatSettingsError(error: SettingsError): string {
   return error.mistakes
     .map(mistake => {
-      const place = mistake.line === null ? error.file : `${error.file}:${mistake.line}`
-      return `${place}: ${mistake.path}: ${mistake.message} (is: ${mistake.value})`
+      const location = mistake.line === null ? error.file : `${error.file}:${mistake.line}`
+      return `${location}: ${mistake.path}: ${mistake.message} (is: ${mistake.value})`
     })
     .join('\n')
 }
--- a/packages/settings/src/targetsDocument.ts
+++ b/packages/settings/src/targetsDocument.ts
@@ -1,4 +1,4 @@
-/** The operators' targets as YAML: checked whole before anything of them is accepted. */
+/** The operators' targets as YAML. A document is accepted only if all of it is valid. */
 import type { Result } from 'neverthrow'
 import { z } from 'zod'
 import type { Targets } from '@nutmegcourse/protocol'
@@ -6,26 +6,29 @@
 import { readYaml } from './readYaml.js'
 import type { SettingsError } from './settingsError.js'
 
-const LONGEST_FRESHNESS_MILLISECONDS = 24 * 60 * 60 * 1000
-const LONGEST_LATENCY_MILLISECONDS = 10 * 60 * 1000
-const MOST_CLASSES = 200
+const MAX_FRESHNESS_MILLISECONDS = 24 * 60 * 60 * 1000
+const MAX_LATENCY_MILLISECONDS = 10 * 60 * 1000
+const MAX_CLASSES = 200
 
 const nameText = z
   .string()
-  .regex(/^[a-z][a-z0-9_]{0,62}$/, 'a name has 1 to 63 of a-z, 0-9 and _, and starts with a letter')
+  .regex(
+    /^[a-z][a-z0-9_]{0,62}$/,
+    'a name has 1 to 63 characters of a-z, 0-9 and _, and starts with a letter',
+  )
 
 const classSchema = z
   .strictObject({
     name: nameText.transform(className),
     access: z.enum(['read', 'write']),
     idempotent: z.boolean().optional(),
-    freshnessMilliseconds: z.int().min(0).max(LONGEST_FRESHNESS_MILLISECONDS).default(0),
-    latencyMilliseconds: z.int().min(1).max(LONGEST_LATENCY_MILLISECONDS),
+    freshnessMilliseconds: z.int().min(0).max(MAX_FRESHNESS_MILLISECONDS).default(0),
+    latencyMilliseconds: z.int().min(1).max(MAX_LATENCY_MILLISECONDS),
     replicaReadShare: z.number().min(0).max(1).default(0),
   })
   .refine(entry => entry.access === 'read' || entry.replicaReadShare === 0, {
     path: ['replicaReadShare'],
-    error: 'a class that writes has no reads to leave the primary: must be 0',
+    error: 'must be 0: a write class has no reads that replicas could serve',
   })
   .transform(entry => ({ ...entry, idempotent: entry.idempotent ?? entry.access === 'read' }))
 
@@ -39,7 +42,7 @@
 const targetsSchema: z.ZodType<Targets> = z
   .strictObject({
     service: z.string().min(1),
-    classes: z.array(classSchema).min(1).max(MOST_CLASSES),
+    classes: z.array(classSchema).min(1).max(MAX_CLASSES),
     defaults: z.array(defaultSchema).default([]),
   })
   .superRefine((document, context) => {
@@ -63,7 +66,7 @@
   return readYaml(text, file, targetsSchema)
 }
 
-/** Checks a document that came from the store or a peer, where no line numbers exist. */
+/** Validates a document from the store or a peer; its line numbers have no meaning. */
 export function checkTargets(value: unknown): Result<Targets, SettingsError> {
   return readYaml(JSON.stringify(value ?? null), '(store)', targetsSchema)
 }
