--- a/packages/ctl/__tests__/logsCommand.spec.ts
+++ b/packages/ctl/__tests__/logsCommand.spec.ts
@@ -76,7 +76,11 @@
   for (const [args, query, files] of accepted) {
     it(args.join(' '), () => {
       const parsed = parseCommand(args)
-      expect(parsed.isOk() && parsed.value.command).toEqual({ kind: 'logs', query, files })
+      expect(parsed.isOk() && parsed.value.command).toEqual({
+        kind: 'logs',
+        question: query,
+        files,
+      })
     })
   }
   for (const args of [
--- a/packages/ctl/src/main.ts
+++ b/packages/ctl/src/main.ts
@@ -20,7 +20,7 @@
   if (parsed.isErr()) return fail(EXIT_CODES.usage, `${parsed.error}\n\n${GENERAL_USAGE}`)
   const { command, json } = parsed.value
   if (command.kind === 'help') return succeed(command.text)
-  if (command.kind === 'logs') return readLogFiles(command.files, command.query, json)
+  if (command.kind === 'logs') return readLogFiles(command.files, command.question, json)
   const settingsFile = parsed.value.settingsFile ?? process.env[SETTINGS_VARIABLE]
   if (settingsFile === undefined) {
     return fail(EXIT_CODES.usage, `no settings: give --settings FILE or set ${SETTINGS_VARIABLE}`)
--- a/packages/ctl/src/parseCommand.ts
+++ b/packages/ctl/src/parseCommand.ts
@@ -21,7 +21,7 @@
   | { readonly kind: 'diff'; readonly file: string }
   | { readonly kind: 'status' }
   | { readonly kind: 'explain'; readonly subject: ExplainSubject; readonly name: string }
-  | { readonly kind: 'logs'; readonly query: LogsQuery; readonly files: readonly string[] }
+  | { readonly kind: 'logs'; readonly question: LogsQuery; readonly files: readonly string[] }
   | { readonly kind: 'drain'; readonly backendServer: BackendServerId; readonly undo: boolean }
 
 export interface CommandLine {
@@ -160,7 +160,7 @@
   if (query === null) return err('logs takes request ID, change SERVICE or summary')
   const files = query.kind === 'summary' ? rest : others
   if (files.length === 0) return err('logs takes one FILE or more')
-  return ok({ kind: 'logs', query, files })
+  return ok({ kind: 'logs', question: query, files })
 }
 
 function checkOperands(
