--- a/packages/bench/__tests__/agentFleet.ts
+++ b/packages/bench/__tests__/agentFleet.ts
@@ -32,7 +32,7 @@
 const ZONES = ['tanger-nord', 'tanger-sud', 'casa-est']
 const DATABASE = databaseId('quai')
 
-const placeOf = (index: number) => ({
+const locationOf = (index: number) => ({
   zone: availabilityZoneId(ZONES[index % ZONES.length] ?? ''),
   region: regionId(index % ZONES.length === 2 ? 'casa' : 'tanger'),
 })
@@ -63,20 +63,20 @@
 })
 
 /** An agent and what its proxies last heard from it. */
-export class WatchedAgent {
+export class SubscribedAgent {
   readonly process: AgentProcess
-  readonly #heard: { snapshot: RoutingSnapshot | null }
+  readonly #received: { snapshot: RoutingSnapshot | null }
 
-  constructor(process: AgentProcess, heard: { snapshot: RoutingSnapshot | null }) {
+  constructor(process: AgentProcess, received: { snapshot: RoutingSnapshot | null }) {
     this.process = process
-    this.#heard = heard
+    this.#received = received
   }
 
   get snapshot(): RoutingSnapshot | null {
-    return this.#heard.snapshot
+    return this.#received.snapshot
   }
 
-  get change(): string | null {
+  get changeId(): string | null {
     return this.snapshot?.targets?.changeId ?? null
   }
 
@@ -93,7 +93,7 @@
 }
 
 export class AgentFleet {
-  readonly agents: WatchedAgent[] = []
+  readonly agents: SubscribedAgent[] = []
   readonly #servers: BackendServer[] = []
   #store = new StoreServer(storeSettingsSchema.parse({}))
   readonly #hostList = new HostListServer(hostListSettingsSchema.parse({}))
@@ -108,27 +108,27 @@
     return fleet
   }
 
-  async addAgent(): Promise<WatchedAgent> {
+  async addAgent(): Promise<SubscribedAgent> {
     const index = this.agents.length
     const id = entryHostId(`host-${index}`)
-    const place = { entryHost: id, ...placeOf(index) }
-    const process = await AgentProcess.start(place, this.#storePort, this.#hostListPort)
+    const location = { entryHost: id, ...locationOf(index) }
+    const process = await AgentProcess.start(location, this.#storePort, this.#hostListPort)
     const { listen, proxyListen } = process.ports
-    const host = { address: LOOPBACK, port: listen, ...placeOf(index), state: 'live' } as const
+    const host = { address: LOOPBACK, port: listen, ...locationOf(index), state: 'live' } as const
     await this.#listHosts([{ kind: 'entryHost', id, ...host }])
-    const heard: { snapshot: RoutingSnapshot | null } = { snapshot: null }
+    const received: { snapshot: RoutingSnapshot | null } = { snapshot: null }
     const proxy = await this.#connect(proxyListen, {
       'proxy.snapshot': params => {
-        heard.snapshot = params as RoutingSnapshot
+        received.snapshot = params as RoutingSnapshot
       },
     })
     await proxy.request('agent.subscribe', null, TIMEOUT_MILLISECONDS)
-    const agent = new WatchedAgent(process, heard)
+    const agent = new SubscribedAgent(process, received)
     this.agents.push(agent)
     return agent
   }
 
-  agent(index: number): WatchedAgent {
+  agent(index: number): SubscribedAgent {
     const found = this.agents[index]
     if (found === undefined) throw new Error(`no agent ${index}`)
     return found
@@ -141,18 +141,18 @@
   /** Puts a value as an operator would, on top of whatever stands there. */
   async put(key: string, value: unknown): Promise<void> {
     const store = await this.#connect(this.#storePort)
-    const current = await this.#ask<StoredValue | null>(store, 'store.get', { key })
+    const current = await this.#request<StoredValue | null>(store, 'store.get', { key })
     const expectedRevision = current?.revision ?? 0
-    await this.#ask(store, 'store.compareAndSwap', { key, expectedRevision, value })
+    await this.#request(store, 'store.compareAndSwap', { key, expectedRevision, value })
   }
 
   async get(key: string): Promise<unknown> {
     const store = await this.#connect(this.#storePort)
-    return (await this.#ask<StoredValue | null>(store, 'store.get', { key }))?.value
+    return (await this.#request<StoredValue | null>(store, 'store.get', { key }))?.value
   }
 
   async setStoreOutage(outage: boolean): Promise<void> {
-    await this.#ask(await this.#connect(this.#storePort), 'fault.set', { outage })
+    await this.#request(await this.#connect(this.#storePort), 'fault.set', { outage })
   }
 
   /** The store comes back at the same place from an older copy, which holds these targets alone. */
@@ -200,7 +200,7 @@
       database: DATABASE,
       address: LOOPBACK,
       port: await server.start(),
-      ...placeOf(index),
+      ...locationOf(index),
       state: 'live',
       slots: 3,
       connectionLimit: 25,
@@ -208,7 +208,7 @@
   }
 
   async #listHosts(hosts: readonly ListedHost[]): Promise<void> {
-    await this.#ask(await this.#connect(this.#hostListPort), 'hosts.set', { hosts })
+    await this.#request(await this.#connect(this.#hostListPort), 'hosts.set', { hosts })
   }
 
   async #connect(
@@ -221,7 +221,7 @@
     return connection
   }
 
-  async #ask<Answer>(
+  async #request<Answer>(
     connection: JsonRpcConnection,
     method: string,
     params: unknown,
--- a/packages/bench/__tests__/agents.spec.ts
+++ b/packages/bench/__tests__/agents.spec.ts
@@ -9,7 +9,7 @@
   const start = async (): Promise<AgentFleet> => {
     fleet = await AgentFleet.start(3)
     await fleet.put(TARGETS_KEY, targetsDocument(1, 'first'))
-    await everyoneHas(fleet, 'first')
+    await waitForChange(fleet, 'first')
     return fleet
   }
   afterEach(async () => {
@@ -20,7 +20,7 @@
   it('bring an accepted change to every proxy', async () => {
     const running = await start()
     await running.put(TARGETS_KEY, targetsDocument(2, 'second'))
-    await everyoneHas(running, 'second')
+    await waitForChange(running, 'second')
   })
 
   // The store stops answering. A host is replaced meanwhile and keeps nothing. Its proxies need the
@@ -29,10 +29,10 @@
     const running = await start()
     await running.setStoreOutage(true)
     const replaced = await running.addAgent()
-    await untilTrue(() => replaced.change === 'first' && replaced.primary === 'quai-0')
+    await waitUntilTrue(() => replaced.changeId === 'first' && replaced.primary === 'quai-0')
     await running.setStoreOutage(false)
     await running.put(TARGETS_KEY, targetsDocument(2, 'second'))
-    await everyoneHas(running, 'second')
+    await waitForChange(running, 'second')
   })
 
   // The store's host dies and its copy of yesterday takes over. Operators would find the fleet back
@@ -40,13 +40,13 @@
   it('keep the newest targets when the store comes back with older ones, and mend the store', async () => {
     const running = await start()
     await running.put(TARGETS_KEY, targetsDocument(2, 'second'))
-    await everyoneHas(running, 'second')
+    await waitForChange(running, 'second')
     await running.restoreStore(targetsDocument(1, 'first'))
-    await untilTrue(async () => {
+    await waitUntilTrue(async () => {
       const stored = (await running.get(TARGETS_KEY)) as VersionedTargets | undefined
       return stored?.changeId === 'second'
     })
-    expect(running.agents.map(agent => agent.change)).toEqual(['second', 'second', 'second'])
+    expect(running.agents.map(agent => agent.changeId)).toEqual(['second', 'second', 'second'])
   })
 
   // The primary dies while the store is out. Callers wait for somebody to lead.
@@ -54,7 +54,7 @@
     const running = await start()
     await running.setStoreOutage(true)
     running.killServer(0)
-    await untilTrue(() => {
+    await waitUntilTrue(() => {
       const leaders = new Set(running.agents.map(agent => agent.primary))
       return leaders.size === 1 && !leaders.has('quai-0') && !leaders.has(null)
     })
@@ -67,34 +67,34 @@
     running.agent(2).process.signal('SIGSTOP')
     running.killServer(0)
     const others = running.agents.slice(0, 2)
-    await untilTrue(() => others.every(agent => isNewPrimary(agent.primary)))
+    await waitUntilTrue(() => others.every(agent => isNewPrimary(agent.primary)))
     const led = others[0]?.primary ?? null
     running.agent(2).process.signal('SIGCONT')
-    await untilTrue(() => running.agent(2).primary === led)
+    await waitUntilTrue(() => running.agent(2).primary === led)
     expect(others.map(agent => agent.primary)).toEqual([led, led])
   })
 
   it('take a drained backend server out of use and move the primary off it', async () => {
     const running = await start()
     await running.put(DRAINS_KEY, { version: 1, backendServers: ['quai-0'] })
-    await untilTrue(() => running.agents.every(agent => agent.leaving.join() === 'quai-0'))
-    await untilTrue(() => running.agents.every(agent => isNewPrimary(agent.primary)))
+    await waitUntilTrue(() => running.agents.every(agent => agent.leaving.join() === 'quai-0'))
+    await waitUntilTrue(() => running.agents.every(agent => isNewPrimary(agent.primary)))
   })
 
   it('leave the fleet on SIGTERM with exit code 0', async () => {
     const running = await start()
     expect(await running.agent(2).process.end('SIGTERM')).toEqual(0)
     running.agents.splice(2, 1)
-    await untilTrue(async () => (await running.agent(0).process.usage()).links === 1)
+    await waitUntilTrue(async () => (await running.agent(0).process.usage()).links === 1)
   })
 })
 
-const untilTrue = (check: () => boolean | Promise<boolean>): Promise<void> =>
+const waitUntilTrue = (check: () => boolean | Promise<boolean>): Promise<void> =>
   eventually(async () => {
     expect(await check()).toEqual(true)
   })
 
 const isNewPrimary = (primary: string | null): boolean => primary !== null && primary !== 'quai-0'
 
-const everyoneHas = (fleet: AgentFleet, change: string): Promise<void> =>
-  untilTrue(() => fleet.agents.every(agent => agent.change === change))
+const waitForChange = (fleet: AgentFleet, change: string): Promise<void> =>
+  waitUntilTrue(() => fleet.agents.every(agent => agent.changeId === change))
--- a/packages/bench/__tests__/eventually.ts
+++ b/packages/bench/__tests__/eventually.ts
@@ -1,7 +1,7 @@
 /** Repeats a check until it holds; its last error when it does not in time. */
 export async function eventually(
   check: () => Promise<void>,
-  patienceMilliseconds = 10_000,
+  timeoutMilliseconds = 10_000,
 ): Promise<void> {
   const start = performance.now()
   for (;;) {
@@ -9,7 +9,7 @@
       await check()
       return
     } catch (error) {
-      if (performance.now() - start > patienceMilliseconds) throw error
+      if (performance.now() - start > timeoutMilliseconds) throw error
       await new Promise(resolve => setTimeout(resolve, 20))
     }
   }
--- a/packages/bench/__tests__/failures/changeOfPrimary.spec.ts
+++ b/packages/bench/__tests__/failures/changeOfPrimary.spec.ts
@@ -1,25 +1,25 @@
 import { describe, it } from 'node:test'
 import { pauseReplication } from '../../src/index.js'
-import { play, wait, type Scenario } from './scenario.js'
+import { runScenario, wait, type Scenario } from './scenario.js'
 
-interface Story extends Scenario {
+interface NamedScenario extends Scenario {
   readonly name: string
 }
 
 const FREEZE_MILLISECONDS = 3000
 
-const stories: readonly Story[] = [
+const scenarios: readonly NamedScenario[] = [
   {
     /**
      * Callers see broken connections, then refusals, then success again. The primary's process dies;
      * another server is promoted; the dead one comes back with a tail that nobody else holds.
      */
     name: 'the primary is killed and comes back',
-    act: async scene => {
-      await scene.deployment.kill(scene.primary.id)
-      await scene.anotherLeads(scene.primary)
-      await scene.writesSucceed()
-      await scene.deployment.process(scene.primary.id).start()
+    act: async fixture => {
+      await fixture.deployment.kill(fixture.primary.id)
+      await fixture.anotherServerIsPrimary(fixture.primary)
+      await fixture.writesSucceed()
+      await fixture.deployment.process(fixture.primary.id).start()
     },
   },
   {
@@ -29,12 +29,12 @@
      * be told as done.
      */
     name: 'the primary is frozen, replaced, and thaws believing that it leads',
-    act: async scene => {
-      scene.deployment.freeze(scene.primary.id)
-      await scene.anotherLeads(scene.primary)
-      await scene.writesSucceed()
+    act: async fixture => {
+      fixture.deployment.freeze(fixture.primary.id)
+      await fixture.anotherServerIsPrimary(fixture.primary)
+      await fixture.writesSucceed()
       await wait(FREEZE_MILLISECONDS)
-      scene.deployment.thaw(scene.primary.id)
+      fixture.deployment.thaw(fixture.primary.id)
     },
   },
   {
@@ -43,11 +43,11 @@
      * primary and proxies still reach each other, so writes run there and must not be acknowledged.
      */
     name: "the primary's zone is isolated and rejoins",
-    act: async scene => {
-      await scene.deployment.isolate(scene.primary.zone)
-      await scene.anotherLeads(scene.primary)
-      await scene.writesSucceed()
-      await scene.deployment.rejoin(scene.primary.zone)
+    act: async fixture => {
+      await fixture.deployment.isolate(fixture.primary.zone)
+      await fixture.anotherServerIsPrimary(fixture.primary)
+      await fixture.writesSucceed()
+      await fixture.deployment.rejoin(fixture.primary.zone)
     },
   },
   {
@@ -56,11 +56,11 @@
      * lost after it took effect: the coordinator must recognise its own change, not fight it.
      */
     name: 'the primary is killed and the answer of the next swap is lost',
-    act: async scene => {
-      await scene.deployment.platform.setStoreFaults({ loseNextAnswers: 1 })
-      await scene.deployment.kill(scene.primary.id)
-      await scene.anotherLeads(scene.primary)
-      await scene.deployment.process(scene.primary.id).start()
+    act: async fixture => {
+      await fixture.deployment.platform.setStoreFaults({ loseNextAnswers: 1 })
+      await fixture.deployment.kill(fixture.primary.id)
+      await fixture.anotherServerIsPrimary(fixture.primary)
+      await fixture.deployment.process(fixture.primary.id).start()
     },
   },
   {
@@ -69,13 +69,13 @@
      * writes go on: what was agreed without it must be found in it, and never be reverted by it.
      */
     name: 'the primary is killed while the store is out',
-    act: async scene => {
-      await scene.deployment.platform.setStoreFaults({ outage: true })
-      await scene.deployment.kill(scene.primary.id)
-      await scene.writesSucceed()
-      await scene.deployment.platform.setStoreFaults({ outage: false })
-      await scene.anotherLeads(scene.primary)
-      await scene.deployment.process(scene.primary.id).start()
+    act: async fixture => {
+      await fixture.deployment.platform.setStoreFaults({ outage: true })
+      await fixture.deployment.kill(fixture.primary.id)
+      await fixture.writesSucceed()
+      await fixture.deployment.platform.setStoreFaults({ outage: false })
+      await fixture.anotherServerIsPrimary(fixture.primary)
+      await fixture.deployment.process(fixture.primary.id).start()
     },
   },
   {
@@ -84,14 +84,14 @@
      * would lose what the other confirmed, and the other must be chosen wherever it stands.
      */
     name: 'the primary is killed while the nearer replica is far behind',
-    act: async scene => {
-      await pauseReplication(scene.server(1), true)
-      await scene.writesSucceed()
-      await scene.deployment.kill(scene.primary.id)
-      await scene.anotherLeads(scene.primary)
-      await pauseReplication(scene.server(1), false)
-      await scene.writesSucceed()
-      await scene.deployment.process(scene.primary.id).start()
+    act: async fixture => {
+      await pauseReplication(fixture.server(1), true)
+      await fixture.writesSucceed()
+      await fixture.deployment.kill(fixture.primary.id)
+      await fixture.anotherServerIsPrimary(fixture.primary)
+      await pauseReplication(fixture.server(1), false)
+      await fixture.writesSucceed()
+      await fixture.deployment.process(fixture.primary.id).start()
     },
   },
   {
@@ -100,25 +100,25 @@
      * restarted, must not lead again with a log that lacks the second reign.
      */
     name: 'two primaries die one after the other',
-    act: async scene => {
-      const { deployment, database } = scene
-      await deployment.kill(scene.primary.id)
-      await scene.anotherLeads(scene.primary)
-      await scene.writesSucceed()
-      await deployment.process(scene.primary.id).start()
-      await scene.serversAgreeWhileWritten()
+    act: async fixture => {
+      const { deployment, database } = fixture
+      await deployment.kill(fixture.primary.id)
+      await fixture.anotherServerIsPrimary(fixture.primary)
+      await fixture.writesSucceed()
+      await deployment.process(fixture.primary.id).start()
+      await fixture.serversShareTerm()
       const { primary } = await deployment.platform.groupRecord(database.id)
       const second = database.servers.find(server => server.id === primary)
       if (second === undefined) throw new Error('the record names no primary')
       await deployment.kill(second.id)
-      await scene.anotherLeads(second)
+      await fixture.anotherServerIsPrimary(second)
       await deployment.process(second.id).start()
     },
   },
 ]
 
 describe('change of primary', () => {
-  for (const story of stories) {
-    it(`loses and doubles nothing when ${story.name}`, () => play(story))
+  for (const scenario of scenarios) {
+    it(`loses and doubles nothing when ${scenario.name}`, () => runScenario(scenario))
   }
 })
--- a/packages/bench/__tests__/failures/partition.spec.ts
+++ b/packages/bench/__tests__/failures/partition.spec.ts
@@ -1,36 +1,36 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import { availabilityZoneId } from '@nutmegcourse/shared'
-import { agentOf, pauseReplication, setReplicationLag } from '../../src/index.js'
-import { play, wait, type Scenario } from './scenario.js'
+import { agentProcessId, pauseReplication, setReplicationLag } from '../../src/index.js'
+import { runScenario, wait, type Scenario } from './scenario.js'
 
-interface Story extends Scenario {
+interface NamedScenario extends Scenario {
   readonly name: string
 }
 
 const CASA = availabilityZoneId('casa-est')
 const TANGER = [availabilityZoneId('tanger-nord'), availabilityZoneId('tanger-sud')]
 /** Longer than every deadline of the classes in use. */
-const LONG_SILENCE_MILLISECONDS = 3000
+const LONG_FAULT_MILLISECONDS = 3000
 const RESETS = 8
 const RESET_INTERVAL_MILLISECONDS = 300
 const NEAR_LAG_MILLISECONDS = 50
 const FAR_LAG_MILLISECONDS = 400
 
-const stories: readonly Story[] = [
+const scenarios: readonly NamedScenario[] = [
   {
     /**
      * Callers at the far region's proxy are refused writes, or wait; all others see nothing. The
      * regions lose each other: the primary keeps a majority in its own region and must not change.
      */
     name: 'the regions lose each other for a while',
-    act: async scene => {
-      await scene.deployment.cut(TANGER, [CASA])
-      await scene.writesSucceed()
-      await wait(LONG_SILENCE_MILLISECONDS)
-      const record = await scene.deployment.platform.groupRecord(scene.database.id)
-      expect(record.primary).toEqual(scene.primary.id)
-      await scene.deployment.heal(TANGER, [CASA])
+    act: async fixture => {
+      await fixture.deployment.cut(TANGER, [CASA])
+      await fixture.writesSucceed()
+      await wait(LONG_FAULT_MILLISECONDS)
+      const record = await fixture.deployment.platform.groupRecord(fixture.database.id)
+      expect(record.primary).toEqual(fixture.primary.id)
+      await fixture.deployment.heal(TANGER, [CASA])
     },
   },
   {
@@ -38,14 +38,14 @@
      * Callers see nothing. The store is silent for long: what is in force goes on.
      */
     name: 'the store is out for long and nothing else fails',
-    act: async scene => {
-      await scene.deployment.platform.setStoreFaults({ outage: true })
-      await wait(LONG_SILENCE_MILLISECONDS)
-      await scene.writesSucceed()
-      await scene.deployment.platform.setStoreFaults({ outage: false })
+    act: async fixture => {
+      await fixture.deployment.platform.setStoreFaults({ outage: true })
+      await wait(LONG_FAULT_MILLISECONDS)
+      await fixture.writesSucceed()
+      await fixture.deployment.platform.setStoreFaults({ outage: false })
     },
-    check: judgement => {
-      expect(judgement.unknown).toEqual(0)
+    check: result => {
+      expect(result.unknown).toEqual(0)
     },
   },
   {
@@ -54,13 +54,13 @@
      * the primary alone holds each write, and alone it must not vouch for one.
      */
     name: 'both replicas stop replicating, then catch up',
-    act: async scene => {
-      for (const index of [1, 2]) await pauseReplication(scene.server(index), true)
-      const paused = scene.load.now()
-      await wait(LONG_SILENCE_MILLISECONDS)
-      expect(scene.acknowledgedSince(paused)).toEqual(0)
+    act: async fixture => {
+      for (const index of [1, 2]) await pauseReplication(fixture.server(index), true)
+      const paused = fixture.load.now()
+      await wait(LONG_FAULT_MILLISECONDS)
+      expect(fixture.acknowledgedSince(paused)).toEqual(0)
       for (const index of [1, 2]) {
-        await pauseReplication(scene.server(index), false)
+        await pauseReplication(fixture.server(index), false)
       }
     },
   },
@@ -70,14 +70,14 @@
      * again, with answers of writes that ran on their way: none of those may be sent once more.
      */
     name: 'connections between the regions break with answers on their way',
-    act: async scene => {
+    act: async fixture => {
       for (let turn = 0; turn < RESETS; turn += 1) {
-        await scene.deployment.resetConnections(TANGER, [CASA])
+        await fixture.deployment.resetConnections(TANGER, [CASA])
         await wait(RESET_INTERVAL_MILLISECONDS)
       }
     },
-    check: judgement => {
-      expect(judgement.unknown).toBeGreaterThan(0)
+    check: result => {
+      expect(result.unknown).toBeGreaterThan(0)
     },
   },
   {
@@ -86,14 +86,14 @@
      * wait for a replica that has the write, or go where the write is; never miss it.
      */
     name: 'the replicas lag behind and sessions roam',
-    act: async scene => {
-      await setReplicationLag(scene.server(1), NEAR_LAG_MILLISECONDS)
-      await setReplicationLag(scene.server(2), FAR_LAG_MILLISECONDS)
-      await wait(2 * LONG_SILENCE_MILLISECONDS)
-      await scene.writesSucceed()
+    act: async fixture => {
+      await setReplicationLag(fixture.server(1), NEAR_LAG_MILLISECONDS)
+      await setReplicationLag(fixture.server(2), FAR_LAG_MILLISECONDS)
+      await wait(2 * LONG_FAULT_MILLISECONDS)
+      await fixture.writesSucceed()
     },
-    check: judgement => {
-      expect(judgement.unknown).toEqual(0)
+    check: result => {
+      expect(result.unknown).toEqual(0)
     },
   },
   {
@@ -102,15 +102,15 @@
      * dies; others take over, and when it goes on its steps must find themselves outdated.
      */
     name: 'the primary is killed while the first agent is frozen',
-    act: async scene => {
-      const agent = agentOf(scene.deployment.entryHost(0))
-      scene.deployment.freeze(agent)
-      await scene.deployment.kill(scene.primary.id)
-      await scene.anotherLeads(scene.primary)
-      await scene.writesSucceed()
-      scene.deployment.thaw(agent)
-      await scene.deployment.process(scene.primary.id).start()
-      await scene.writesSucceed()
+    act: async fixture => {
+      const agent = agentProcessId(fixture.deployment.entryHost(0))
+      fixture.deployment.freeze(agent)
+      await fixture.deployment.kill(fixture.primary.id)
+      await fixture.anotherServerIsPrimary(fixture.primary)
+      await fixture.writesSucceed()
+      fixture.deployment.thaw(agent)
+      await fixture.deployment.process(fixture.primary.id).start()
+      await fixture.writesSucceed()
     },
   },
   {
@@ -118,16 +118,16 @@
      * Callers see nothing. Every agent dies: proxies go on with the last snapshot they had.
      */
     name: 'every agent dies and comes back',
-    act: async scene => {
-      const agents = scene.deployment.plan.entryHosts.map(agentOf)
-      await Promise.all(agents.map(agent => scene.deployment.kill(agent)))
-      await scene.writesSucceed()
-      await Promise.all(agents.map(agent => scene.deployment.process(agent).start()))
-      await scene.writesSucceed()
+    act: async fixture => {
+      const agents = fixture.deployment.plan.entryHosts.map(agentProcessId)
+      await Promise.all(agents.map(agent => fixture.deployment.kill(agent)))
+      await fixture.writesSucceed()
+      await Promise.all(agents.map(agent => fixture.deployment.process(agent).start()))
+      await fixture.writesSucceed()
     },
-    check: judgement => {
-      expect(judgement.unknown).toEqual(0)
-      expect([...judgement.refusals.keys()]).toEqual([])
+    check: result => {
+      expect(result.unknown).toEqual(0)
+      expect([...result.refusals.keys()]).toEqual([])
     },
   },
   {
@@ -136,19 +136,19 @@
      * the others must agree without the store, and the isolated primary must not be believed.
      */
     name: "the primary's zone is isolated while the store is out",
-    act: async scene => {
-      await scene.deployment.platform.setStoreFaults({ outage: true })
-      await scene.deployment.isolate(scene.primary.zone)
-      await scene.writesSucceed()
-      await scene.deployment.rejoin(scene.primary.zone)
-      await scene.deployment.platform.setStoreFaults({ outage: false })
-      await scene.anotherLeads(scene.primary)
+    act: async fixture => {
+      await fixture.deployment.platform.setStoreFaults({ outage: true })
+      await fixture.deployment.isolate(fixture.primary.zone)
+      await fixture.writesSucceed()
+      await fixture.deployment.rejoin(fixture.primary.zone)
+      await fixture.deployment.platform.setStoreFaults({ outage: false })
+      await fixture.anotherServerIsPrimary(fixture.primary)
     },
   },
 ]
 
 describe('partitions and pauses', () => {
-  for (const story of stories) {
-    it(`loses and doubles nothing when ${story.name}`, () => play(story))
+  for (const scenario of scenarios) {
+    it(`loses and doubles nothing when ${scenario.name}`, () => runScenario(scenario))
   }
 })
--- a/packages/bench/__tests__/failures/plannedStop.spec.ts
+++ b/packages/bench/__tests__/failures/plannedStop.spec.ts
@@ -1,10 +1,10 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { agentOf, proxyOf } from '../../src/index.js'
-import type { Judgement } from '../../src/workload/history.js'
-import { play, wait, type Scenario } from './scenario.js'
+import { agentProcessId, proxyProcessId } from '../../src/index.js'
+import type { HistoryCheckResult } from '../../src/workload/history.js'
+import { runScenario, wait, type Scenario } from './scenario.js'
 
-interface Story extends Scenario {
+interface NamedScenario extends Scenario {
   readonly name: string
 }
 
@@ -14,21 +14,23 @@
 const HOST_LIST_LAG_MILLISECONDS = 1000
 
 /** A caller may be told to go elsewhere before its request runs; none may be left in doubt. */
-const cutsNothing = (judgement: Judgement): void => {
-  expect(judgement.unknown).toEqual(0)
+const cutsNothing = (result: HistoryCheckResult): void => {
+  expect(result.unknown).toEqual(0)
 }
 
-const stories: readonly Story[] = [
+const scenarios: readonly NamedScenario[] = [
   {
     /**
      * Callers of one proxy are sent elsewhere. The proxy is told to stop under load: what runs is
      * answered, what has not begun is refused as not run.
      */
     name: 'a proxy is stopped under load',
-    act: async scene => {
-      const exitCode = await scene.deployment.stopGracefully(proxyOf(scene.deployment.entryHost(0)))
+    act: async fixture => {
+      const exitCode = await fixture.deployment.stopGracefully(
+        proxyProcessId(fixture.deployment.entryHost(0)),
+      )
       expect(exitCode).toEqual(0)
-      await scene.writesSucceed()
+      await fixture.writesSucceed()
     },
     check: cutsNothing,
   },
@@ -37,14 +39,14 @@
      * Callers are sent elsewhere time and again. Every entry host is replaced, one after the other.
      */
     name: 'every entry host is replaced in turn',
-    act: async scene => {
-      const { deployment } = scene
+    act: async fixture => {
+      const { deployment } = fixture
       for (const host of deployment.plan.entryHosts) {
-        await deployment.stopGracefully(proxyOf(host))
-        await deployment.stopGracefully(agentOf(host))
-        await deployment.process(agentOf(host)).start()
-        await deployment.process(proxyOf(host)).start()
-        await scene.writesSucceed()
+        await deployment.stopGracefully(proxyProcessId(host))
+        await deployment.stopGracefully(agentProcessId(host))
+        await deployment.process(agentProcessId(host)).start()
+        await deployment.process(proxyProcessId(host)).start()
+        await fixture.writesSucceed()
       }
     },
     check: cutsNothing,
@@ -55,12 +57,12 @@
      */
     name: 'a replica is leaving',
     options: { hostListLagMilliseconds: HOST_LIST_LAG_MILLISECONDS },
-    act: async scene => {
-      const leaving = scene.server(1)
-      expect(await scene.statementsDuring(leaving, OBSERVED_MILLISECONDS)).toBeGreaterThan(0)
-      await scene.deployment.platform.markLeaving(leaving.id)
+    act: async fixture => {
+      const leaving = fixture.server(1)
+      expect(await fixture.statementsDuring(leaving, OBSERVED_MILLISECONDS)).toBeGreaterThan(0)
+      await fixture.deployment.platform.markLeaving(leaving.id)
       await wait(LEAVING_MILLISECONDS)
-      expect(await scene.statementsDuring(leaving, OBSERVED_MILLISECONDS)).toEqual(0)
+      expect(await fixture.statementsDuring(leaving, OBSERVED_MILLISECONDS)).toEqual(0)
     },
     check: cutsNothing,
   },
@@ -71,18 +73,18 @@
      */
     name: 'the primary is leaving',
     options: { hostListLagMilliseconds: HOST_LIST_LAG_MILLISECONDS },
-    act: async scene => {
-      await scene.deployment.platform.markLeaving(scene.primary.id)
+    act: async fixture => {
+      await fixture.deployment.platform.markLeaving(fixture.primary.id)
       await wait(LEAVING_MILLISECONDS)
-      expect(await scene.statementsDuring(scene.primary, OBSERVED_MILLISECONDS)).toEqual(0)
-      await scene.anotherLeads(scene.primary)
+      expect(await fixture.statementsDuring(fixture.primary, OBSERVED_MILLISECONDS)).toEqual(0)
+      await fixture.anotherServerIsPrimary(fixture.primary)
     },
     check: cutsNothing,
   },
 ]
 
 describe('planned stops', () => {
-  for (const story of stories) {
-    it(`cuts nothing when ${story.name}`, () => play(story))
+  for (const scenario of scenarios) {
+    it(`cuts nothing when ${scenario.name}`, () => runScenario(scenario))
   }
 })
--- a/packages/bench/__tests__/failures/scenario.ts
+++ b/packages/bench/__tests__/failures/scenario.ts
@@ -14,9 +14,9 @@
 import type { PlannedDatabase, PlannedServer } from '../../src/deployment/plan.js'
 import { CallerLoad } from '../../src/workload/callerLoad.js'
 import { readFinalContents } from '../../src/workload/finalContents.js'
-import { judge, type Judgement } from '../../src/workload/history.js'
+import { checkHistory, type HistoryCheckResult } from '../../src/workload/history.js'
 import { SessionCaller } from '../../src/workload/sessionCaller.js'
-import { longestWriteSilence } from '../../src/workload/writeSilence.js'
+import { longestWriteGap } from '../../src/workload/writeGap.js'
 import { eventually } from '../eventually.js'
 
 const OPTIONS: DeploymentOptions = {
@@ -37,7 +37,7 @@
 const WARM_UP_ACKNOWLEDGEMENTS = 50
 const RECOVERY_MILLISECONDS = 15_000
 
-export class Scene {
+export class ScenarioFixture {
   readonly deployment: Deployment
   readonly load: CallerLoad
 
@@ -87,7 +87,7 @@
   }
 
   /** Waits until another server than `former` leads, by the store's record. */
-  async anotherLeads(former: PlannedServer): Promise<void> {
+  async anotherServerIsPrimary(former: PlannedServer): Promise<void> {
     await eventually(async () => {
       const record = await this.deployment.platform.groupRecord(this.database.id)
       expect(record.phase.kind).toEqual('stable')
@@ -96,7 +96,7 @@
   }
 
   /** Waits until every server follows or leads in the newest term, while writes go on. */
-  async serversAgreeWhileWritten(): Promise<void> {
+  async serversShareTerm(): Promise<void> {
     await eventually(async () => {
       const rows = await this.#positions()
       expect(new Set(rows.map(row => row[1])).size).toEqual(1)
@@ -123,36 +123,36 @@
 export interface Scenario {
   readonly options?: Partial<DeploymentOptions>
   /** What fails. Returns once what failed is over or healed. */
-  readonly act: (scene: Scene) => Promise<void>
+  readonly act: (fixture: ScenarioFixture) => Promise<void>
   /** Beyond what always holds. */
-  readonly check?: (judgement: Judgement, scene: Scene) => void
+  readonly check?: (result: HistoryCheckResult, fixture: ScenarioFixture) => void
   /** Whether all servers must hold the same log in the end. */
   readonly serversAgree?: boolean
 }
 
 /** Everything that the fleet owes its callers, whatever failed. */
-export async function play(scenario: Scenario): Promise<void> {
+export async function runScenario(scenario: Scenario): Promise<void> {
   const deployment = await Deployment.start({ ...OPTIONS, ...scenario.options })
   try {
-    await everyProxyServes(deployment)
+    await waitUntilProxiesServe(deployment)
     const load = CallerLoad.start(deployment, LOAD)
-    await playUnderLoad(scenario, new Scene(deployment, load)).finally(() => load.stop())
+    await runUnderLoad(scenario, new ScenarioFixture(deployment, load)).finally(() => load.stop())
   } finally {
     await deployment.stop()
   }
 }
 
-async function playUnderLoad(scenario: Scenario, scene: Scene): Promise<void> {
-  const { deployment, load, database } = scene
-  await scene.writesSucceed(WARM_UP_ACKNOWLEDGEMENTS)
+async function runUnderLoad(scenario: Scenario, fixture: ScenarioFixture): Promise<void> {
+  const { deployment, load, database } = fixture
+  await fixture.writesSucceed(WARM_UP_ACKNOWLEDGEMENTS)
   const start = load.now()
-  await scenario.act(scene)
-  await scene.writesSucceed()
+  await scenario.act(fixture)
+  await fixture.writesSucceed()
   const operations = await load.stop()
-  if (scenario.serversAgree ?? true) await scene.serversAgree()
-  const judgement = judge(operations, await readFinalContents(deployment))
-  report(scene, judgement, longestWriteSilence(operations, database.id, start))
-  const { lost, doubled, ranThoughRefused, staleReads } = judgement
+  if (scenario.serversAgree ?? true) await fixture.serversAgree()
+  const result = checkHistory(operations, await readFinalContents(deployment))
+  report(fixture, result, longestWriteGap(operations, database.id, start))
+  const { lost, doubled, ranThoughRefused, staleReads } = result
   expect({ lost, doubled, ranThoughRefused, staleReads }).toEqual({
     lost: [],
     doubled: [],
@@ -162,11 +162,11 @@
   for (const server of database.servers) {
     expect((await countConnections(server)).refused).toEqual(0)
   }
-  scenario.check?.(judgement, scene)
+  scenario.check?.(result, fixture)
 }
 
 /** A proxy listens before it has the targets; what it refuses until then is no part of a story. */
-async function everyProxyServes(deployment: Deployment): Promise<void> {
+async function waitUntilProxiesServe(deployment: Deployment): Promise<void> {
   for (const { proxyPort } of deployment.plan.entryHosts) {
     const caller = new SessionCaller(
       {
@@ -187,15 +187,15 @@
 }
 
 /** Figures are told, not asserted: they depend on the machine. */
-function report(scene: Scene, judgement: Judgement, silence: number): void {
-  const { acknowledged, unknown, refusals } = judgement
-  const told = {
+function report(fixture: ScenarioFixture, result: HistoryCheckResult, silence: number): void {
+  const { acknowledged, unknown, refusals } = result
+  const figures = {
     acknowledged,
     unknown,
     refusals: Object.fromEntries(refusals),
     longestWriteSilenceMilliseconds: Math.round(silence),
   }
-  process.stdout.write(`${scene.database.id}: ${JSON.stringify(told)}\n`)
+  process.stdout.write(`${fixture.database.id}: ${JSON.stringify(figures)}\n`)
 }
 
 export const wait = (span: number): Promise<void> => delay(span)
--- a/packages/bench/__tests__/failures/transactions.spec.ts
+++ b/packages/bench/__tests__/failures/transactions.spec.ts
@@ -1,7 +1,7 @@
 import { after, before, describe, it } from 'node:test'
 import { expect } from 'earl'
 import pg from 'pg'
-import { Deployment, proxyOf } from '../../src/index.js'
+import { Deployment, proxyProcessId } from '../../src/index.js'
 import { eventually } from '../eventually.js'
 
 const CLASS = 'scheduling_write'
@@ -57,12 +57,12 @@
     const [dying, other] = [await writable(0), await writable(1)]
     await dying.query('BEGIN')
     await dying.query(insert('first half'))
-    await deployment.kill(proxyOf(deployment.entryHost(0)))
+    await deployment.kill(proxyProcessId(deployment.entryHost(0)))
     await other.query('BEGIN')
     await other.query(insert('whole one'))
     await other.query(insert('whole two'))
     await other.query('COMMIT')
-    await deployment.process(proxyOf(deployment.entryHost(0))).start()
+    await deployment.process(proxyProcessId(deployment.entryHost(0))).start()
     await writable(0)
     const stored = await storedIds()
     expect(stored.has('first half')).toEqual(false)
--- a/packages/bench/__tests__/failures/wholeAnswers.spec.ts
+++ b/packages/bench/__tests__/failures/wholeAnswers.spec.ts
@@ -54,19 +54,23 @@
   }
 
   /** Asks for its own name, or for as many rows as it picked, in each way that a client can ask. */
-  const ask = async (client: pg.Client, mark: string, rowCount: number): Promise<string | null> => {
+  const ask = async (
+    client: pg.Client,
+    marker: string,
+    rowCount: number,
+  ): Promise<string | null> => {
     const rows = `SELECT generate_rows(${rowCount}, ${ROW_BYTES})`
     const [named, simple, many] = await Promise.all([
-      client.query<{ own: string }>({ name: 'own', text: 'SELECT $1 AS own', values: [mark] }),
-      client.query<{ own: string }>(`SELECT '${mark}' AS own`),
+      client.query<{ own: string }>({ name: 'own', text: 'SELECT $1 AS own', values: [marker] }),
+      client.query<{ own: string }>(`SELECT '${marker}' AS own`),
       client.query<{ generate_rows: string }>(rows),
     ])
-    if (named.rows[0]?.own !== mark) return `${mark} got ${JSON.stringify(named.rows)}`
-    if (simple.rows[0]?.own !== mark) return `${mark} got ${JSON.stringify(simple.rows)}`
+    if (named.rows[0]?.own !== marker) return `${marker} got ${JSON.stringify(named.rows)}`
+    if (simple.rows[0]?.own !== marker) return `${marker} got ${JSON.stringify(simple.rows)}`
     const whole = many.rows.every(
       (row, index) => row.generate_rows === `${index + 1}:${'x'.repeat(ROW_BYTES)}`,
     )
-    return whole && many.rows.length === rowCount ? null : `${mark} got ${many.rows.length} rows`
+    return whole && many.rows.length === rowCount ? null : `${marker} got ${many.rows.length} rows`
   }
 
   const run = async (at: number, tally: Tally): Promise<void> => {
--- a/packages/bench/__tests__/history.spec.ts
+++ b/packages/bench/__tests__/history.spec.ts
@@ -1,8 +1,8 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import { milliseconds, sessionId } from '@nutmegcourse/shared'
-import { judge, type FinalContents } from '../src/workload/history.js'
-import { longestWriteSilence } from '../src/workload/writeSilence.js'
+import { checkHistory, type FinalContents } from '../src/workload/history.js'
+import { longestWriteGap } from '../src/workload/writeGap.js'
 import { writeId, type Operation, type Outcome } from '../src/workload/operation.js'
 
 const ACKNOWLEDGED: Outcome = { kind: 'acknowledged' }
@@ -27,7 +27,7 @@
   value,
   ...base(start, end, outcome),
 })
-const look = (value: number | null, start: number, end: number): Operation => ({
+const read = (value: number | null, start: number, end: number): Operation => ({
   kind: 'counterRead',
   value,
   servedBy: 'replica',
@@ -45,7 +45,7 @@
   ])
 
 describe('judge', () => {
-  const clean = { lost: 0, doubled: 0, ghosts: 0, stale: 0 }
+  const clean = { lost: 0, doubled: 0, ranThoughRefused: 0, stale: 0 }
   const cases: {
     name: string
     operations: Operation[]
@@ -74,7 +74,7 @@
       name: 'an event that ran though refused as not run',
       operations: [event('a', NOT_RUN)],
       end: finals(['a']),
-      found: { ...clean, ghosts: 1 },
+      found: { ...clean, ranThoughRefused: 1 },
     },
     {
       name: 'an unknown outcome either way',
@@ -90,25 +90,25 @@
     },
     {
       name: 'a read that missed an earlier write of its session',
-      operations: [raise(2, 0, 1), look(1, 2, 3)],
+      operations: [raise(2, 0, 1), read(1, 2, 3)],
       end: finals([], 2),
       found: { ...clean, stale: 1 },
     },
     {
       name: 'a read that overlaps the write',
-      operations: [raise(2, 0, 5), look(1, 2, 6)],
+      operations: [raise(2, 0, 5), read(1, 2, 6)],
       end: finals([], 2),
       found: clean,
     },
   ]
   for (const { name, operations, end, found } of cases) {
     it(`sees ${name}`, () => {
-      const judgement = judge(operations, end)
+      const result = checkHistory(operations, end)
       expect({
-        lost: judgement.lost.length,
-        doubled: judgement.doubled.length,
-        ghosts: judgement.ranThoughRefused.length,
-        stale: judgement.staleReads.length,
+        lost: result.lost.length,
+        doubled: result.doubled.length,
+        ranThoughRefused: result.ranThoughRefused.length,
+        stale: result.staleReads.length,
       }).toEqual(found)
     })
   }
@@ -125,13 +125,13 @@
       event('d', ACKNOWLEDGED, 96, 700),
       event('e', ACKNOWLEDGED, 96, 900),
     ]
-    const gap = longestWriteSilence(operations, 'salon-1', milliseconds(100))
+    const gap = longestWriteGap(operations, 'salon-1', milliseconds(100))
     expect(gap).toEqual(595)
   })
 
   it('knows no silence without two acknowledgements', () => {
     const operations = [event('a', ACKNOWLEDGED, 0, 90)]
-    const gap = longestWriteSilence(operations, 'salon-1', milliseconds(0))
+    const gap = longestWriteGap(operations, 'salon-1', milliseconds(0))
     expect(gap).toEqual(0)
   })
 })
--- a/packages/bench/__tests__/operators.spec.ts
+++ b/packages/bench/__tests__/operators.spec.ts
@@ -11,12 +11,12 @@
 import { eventually } from './eventually.js'
 
 const PROGRAM = fileURLToPath(new URL('main.js', import.meta.resolve('@nutmegcourse/ctl')))
-const FORCE_MILLISECONDS = 10_000
+const APPLY_TIMEOUT_MILLISECONDS = 10_000
 
 interface Run {
   readonly code: number
   readonly output: string
-  readonly complaint: string
+  readonly errorOutput: string
 }
 
 const targetsWith = (className: string): string => `service: quai-sched
@@ -44,22 +44,22 @@
     })
     const { storePort } = deployment.platform
     const { agentPort } = deployment.entryHost(0)
-    const place = (port: number): string => `{ address: ${LOOPBACK}, port: ${port} }`
-    writeFileSync(settingsFile, `store: ${place(storePort)}\nagent: ${place(agentPort)}\n`)
+    const endpoint = (port: number): string => `{ address: ${LOOPBACK}, port: ${port} }`
+    writeFileSync(settingsFile, `store: ${endpoint(storePort)}\nagent: ${endpoint(agentPort)}\n`)
   })
   after(async () => {
     await deployment.stop()
     rmSync(directory, { recursive: true })
   })
 
-  const run = (words: readonly string[], input = ''): Promise<Run> =>
+  const run = (args: readonly string[], input = ''): Promise<Run> =>
     new Promise(resolve => {
       const child = execFile(
         process.execPath,
-        [PROGRAM, ...words, '--settings', settingsFile],
+        [PROGRAM, ...args, '--settings', settingsFile],
         (error, output, complaint) => {
           const code = typeof error?.code === 'number' ? error.code : 0
-          resolve({ code, output, complaint })
+          resolve({ code, output, errorOutput: complaint })
         },
       )
       child.stdin?.end(input)
@@ -88,14 +88,17 @@
     for (const host of deployment.plan.entryHosts) {
       await eventually(async () => {
         expect(await readAs(host.proxyPort, 'berth_lookup')).toEqual(1)
-      }, FORCE_MILLISECONDS)
+      }, APPLY_TIMEOUT_MILLISECONDS)
     }
   })
 
   it('refuses a document with mistakes and leaves what is in force', async () => {
     const before = (await run(['get', '--json'])).output
     const refused = await run(['apply', '-'], `${targetsWith('x')}weights: {}\n`)
-    expect([refused.code, refused.complaint.includes('weights can not be set')]).toEqual([3, true])
+    expect([refused.code, refused.errorOutput.includes('weights can not be set')]).toEqual([
+      3,
+      true,
+    ])
     expect((await run(['get', '--json'])).output).toEqual(before)
   })
 
@@ -125,10 +128,10 @@
     await eventually(async () => {
       const record = await deployment.platform.groupRecord(database.id)
       expect([record.phase.kind, record.primary === former]).toEqual(['stable', false])
-    }, FORCE_MILLISECONDS)
-    const story = await run(['explain', 'database', database.id])
+    }, APPLY_TIMEOUT_MILLISECONDS)
+    const explanation = await run(['explain', 'database', database.id])
     expect(
-      ['moveStarted', 'promoted', 'completed'].filter(step => !story.output.includes(step)),
+      ['moveStarted', 'promoted', 'completed'].filter(step => !explanation.output.includes(step)),
     ).toEqual([])
   })
 })
--- a/packages/bench/src/demo.ts
+++ b/packages/bench/src/demo.ts
@@ -7,32 +7,32 @@
 import { formatReport, isClean, makeReport, type DemoReport } from './demo/demoReport.js'
 import { CallerLoad } from './workload/callerLoad.js'
 import { readFinalContents } from './workload/finalContents.js'
-import { judge } from './workload/history.js'
-import { longestWriteSilence } from './workload/writeSilence.js'
+import { checkHistory } from './workload/history.js'
+import { longestWriteGap } from './workload/writeGap.js'
 
 const SESSIONS_PER_DATABASE = 10
 const THINK_MILLISECONDS = 20
 /** Parts of the run, as shares of its length. */
-const KILL_AT = 0.3
-const RESTART_AT = 0.5
-const MOVE_AT = 0.7
+const KILL_AT_SHARE = 0.3
+const RESTART_AT_SHARE = 0.5
+const MOVE_AT_SHARE = 0.7
 /** How long around an event the longest gap is looked for. */
-const WATCHED_MILLISECONDS = 5000
+const GAP_WINDOW_MILLISECONDS = 5000
 const SERVICE_MILLISECONDS = 1
 
 const clock = new SystemClock()
-const say = (text: string): void => {
+const log = (text: string): void => {
   process.stderr.write(`${text}\n`)
 }
 
-interface StoryTimes {
+interface FaultTimes {
   readonly killedAt: Milliseconds
   readonly movedAt: Milliseconds
 }
 
 async function main(): Promise<number> {
   const options = readDemoOptions(process.argv.slice(2))
-  say(`starting ${options.deployment}: 3 databases, ${options.entryHosts} entry hosts`)
+  log(`starting ${options.deployment}: 3 databases, ${options.entryHosts} entry hosts`)
   const deployment = await Deployment.start({
     shape: options.deployment,
     databases: 3,
@@ -56,22 +56,22 @@
     sessionsPerDatabase: SESSIONS_PER_DATABASE,
     thinkMilliseconds: THINK_MILLISECONDS,
     seed: options.seed,
-    writeClass: classThat('write', shape.targets),
-    readClass: classThat('read', shape.targets),
+    writeClass: classWithAccess('write', shape.targets),
+    readClass: classWithAccess('read', shape.targets),
   })
-  const times = await tellStory(deployment, options)
-  say('stopping the callers')
+  const times = await runScenario(deployment, options)
+  log('stopping the callers')
   await load.stop()
   const interRegionBytes = await deployment.interRegionBytes()
-  const judgement = judge(load.operations, await readFinalContents(deployment))
+  const checkResult = checkHistory(load.operations, await readFinalContents(deployment))
   const [database = ''] = databases.map(entry => entry.id)
   const gapAfter = (from: Milliseconds): number => {
-    const watched = load.operations.filter(each => each.endedAt <= from + WATCHED_MILLISECONDS)
-    return longestWriteSilence(watched, database, from)
+    const watched = load.operations.filter(each => each.endedAt <= from + GAP_WINDOW_MILLISECONDS)
+    return longestWriteGap(watched, database, from)
   }
   return makeReport({
     operations: load.operations,
-    judgement,
+    checkResult: checkResult,
     targets: shape.targets,
     failoverGap: gapAfter(times.killedAt),
     plannedMoveGap: gapAfter(times.movedAt),
@@ -80,30 +80,30 @@
 }
 
 /** All of it happens to the first database; the others show what their callers notice of it. */
-async function tellStory(deployment: Deployment, options: DemoOptions): Promise<StoryTimes> {
+async function runScenario(deployment: Deployment, options: DemoOptions): Promise<FaultTimes> {
   const span = options.seconds * 1000
   const database = deployment.database(0)
-  const leader = async (): Promise<string> =>
+  const currentPrimary = async (): Promise<string> =>
     (await deployment.platform.groupRecord(database.id)).primary ?? ''
-  await pause(span * KILL_AT)
-  const victim = await leader()
-  say(`killing the primary ${victim}`)
+  await pause(span * KILL_AT_SHARE)
+  const victim = await currentPrimary()
+  log(`killing the primary ${victim}`)
   const killedAt = clock.now()
   await deployment.kill(victim)
-  await pause(span * (RESTART_AT - KILL_AT))
-  say(`${await leader()} leads now; restarting ${victim}`)
+  await pause(span * (RESTART_AT_SHARE - KILL_AT_SHARE))
+  log(`${await currentPrimary()} leads now; restarting ${victim}`)
   await deployment.restart(victim)
-  await pause(span * (MOVE_AT - RESTART_AT))
-  const moved = await leader()
-  say(`moving the primary away from ${moved} by plan`)
+  await pause(span * (MOVE_AT_SHARE - RESTART_AT_SHARE))
+  const moved = await currentPrimary()
+  log(`moving the primary away from ${moved} by plan`)
   const movedAt = clock.now()
   await deployment.platform.markLeaving(moved)
-  await pause(span * (1 - MOVE_AT))
-  say(`${await leader()} leads now`)
+  await pause(span * (1 - MOVE_AT_SHARE))
+  log(`${await currentPrimary()} leads now`)
   return { killedAt, movedAt }
 }
 
-function classThat(access: 'read' | 'write', targets: Targets): string {
+function classWithAccess(access: 'read' | 'write', targets: Targets): string {
   const found = targets.classes.find(entry => entry.access === access)
   if (found === undefined) throw new Error(`no class that may ${access}`)
   return found.name
--- a/packages/bench/src/demo/demoOptions.ts
+++ b/packages/bench/src/demo/demoOptions.ts
@@ -16,13 +16,13 @@
 with 1 when anything was lost, doubled or stale.
 `
 
-const SHORTEST_SECONDS = 10
+const MIN_SECONDS = 10
 
 /** Prints the usage and ends the process on words that it does not know. */
-export function readDemoOptions(words: readonly string[]): DemoOptions {
+export function readDemoOptions(args: readonly string[]): DemoOptions {
   try {
     const { values } = parseArgs({
-      args: [...words],
+      args: [...args],
       options: {
         deployment: { type: 'string', default: 'atlas-quai' },
         seconds: { type: 'string', default: '30' },
@@ -31,19 +31,19 @@
         help: { type: 'boolean', short: 'h', default: false },
       },
     })
-    if (values.help) leave(0, USAGE)
+    if (values.help) exitWithText(0, USAGE)
     const { deployment } = values
     if (deployment !== 'atlas-quai' && deployment !== 'shutterbaithak') {
-      return leave(2, `no such deployment: ${deployment}\n${USAGE}`)
+      return exitWithText(2, `no such deployment: ${deployment}\n${USAGE}`)
     }
     return {
       deployment,
-      seconds: readNumber('seconds', values.seconds, SHORTEST_SECONDS),
+      seconds: readNumber('seconds', values.seconds, MIN_SECONDS),
       seed: readNumber('seed', values.seed, 0),
       entryHosts: readNumber('entry-hosts', values['entry-hosts'], 1),
     }
   } catch (error) {
-    return leave(2, `${error instanceof Error ? error.message : String(error)}\n${USAGE}`)
+    return exitWithText(2, `${error instanceof Error ? error.message : String(error)}\n${USAGE}`)
   }
 }
 
@@ -53,7 +53,7 @@
   throw new Error(`--${name} takes a whole number of ${least} or more, not ${text}`)
 }
 
-function leave(code: number, text: string): never {
+function exitWithText(code: number, text: string): never {
   process.stderr.write(text)
   process.exit(code)
 }
--- a/packages/bench/src/demo/demoReport.ts
+++ b/packages/bench/src/demo/demoReport.ts
@@ -1,7 +1,7 @@
 /** What a demo run found, as a table for people and one JSON object for programs. */
 import { build } from 'hdr-histogram-js'
 import type { Targets } from '@nutmegcourse/protocol'
-import type { Judgement } from '../workload/history.js'
+import type { HistoryCheckResult } from '../workload/history.js'
 import type { CounterRead, Operation } from '../workload/operation.js'
 
 export interface DemoReport {
@@ -24,7 +24,7 @@
 
 export interface DemoFindings {
   readonly operations: readonly Operation[]
-  readonly judgement: Judgement
+  readonly checkResult: HistoryCheckResult
   readonly targets: Targets
   readonly failoverGap: number | null
   readonly plannedMoveGap: number | null
@@ -32,7 +32,7 @@
 }
 
 export function makeReport(findings: DemoFindings): DemoReport {
-  const { operations, judgement, targets } = findings
+  const { operations, checkResult: checkResult, targets } = findings
   const reads = operations.filter(
     (operation): operation is CounterRead =>
       operation.kind === 'counterRead' && operation.servedBy !== null,
@@ -43,19 +43,19 @@
   )
   const permittedReads = reads.reduce((sum, read) => sum + (permitted.get(read.class) ?? 0), 0)
   return {
-    acknowledged: judgement.acknowledged,
-    lost: judgement.lost.length,
-    doubled: judgement.doubled.length,
-    ranThoughRefused: judgement.ranThoughRefused.length,
-    readYourWritesViolations: judgement.staleReads.length,
-    outcomeUnknown: judgement.unknown,
+    acknowledged: checkResult.acknowledged,
+    lost: checkResult.lost.length,
+    doubled: checkResult.doubled.length,
+    ranThoughRefused: checkResult.ranThoughRefused.length,
+    readYourWritesViolations: checkResult.staleReads.length,
+    outcomeUnknown: checkResult.unknown,
     replicaReadShare: round(onReplicas / reads.length, 4),
     permittedReplicaReadShare: round(permittedReads / reads.length, 4),
     failoverGapMilliseconds: roundOrNull(findings.failoverGap),
     plannedMoveGapMilliseconds: roundOrNull(findings.plannedMoveGap),
     interRegionBytes: findings.interRegionBytes,
     latencyMilliseconds: measureLatencies(operations),
-    refusals: Object.fromEntries(judgement.refusals),
+    refusals: Object.fromEntries(checkResult.refusals),
   }
 }
 
--- a/packages/bench/src/deployment/deployment.ts
+++ b/packages/bench/src/deployment/deployment.ts
@@ -40,7 +40,7 @@
 const HOST_LIST = 'host-list'
 
 /** The built file of a package of this workspace, beside its public face. */
-function programOf(packageName: string, file: string): string {
+function programPath(packageName: string, file: string): string {
   return fileURLToPath(new URL(file, import.meta.resolve(`@nutmegcourse/${packageName}`)))
 }
 
@@ -171,8 +171,8 @@
 
   async #startAll(): Promise<void> {
     const { shape } = this.plan
-    const store = await this.#start('store', programOf('stand-ins', 'store/main.js'), {})
-    const hostList = await this.#start(HOST_LIST, programOf('stand-ins', 'hostList/main.js'), {
+    const store = await this.#start('store', programPath('stand-ins', 'store/main.js'), {})
+    const hostList = await this.#start(HOST_LIST, programPath('stand-ins', 'hostList/main.js'), {
       lagMilliseconds: this.#options.hostListLagMilliseconds ?? 0,
       zones: this.zones,
     })
@@ -180,7 +180,7 @@
     if (this.#options.network) this.#network = new Network(await this.#startRelay(shape))
     await this.#connectZones(hostList.zonePorts as Readonly<Record<string, number>>)
     await Promise.all(this.plan.databases.map(database => this.#startDatabase(database)))
-    await this.platform.fill(this.#routes())
+    await this.platform.initialize(this.#routes())
     if (!this.#options.fleet) return
     await Promise.all(this.plan.entryHosts.map(host => this.#startEntryHost(host)))
   }
@@ -197,7 +197,7 @@
 
   async #startRelay(shape: DeploymentShape): Promise<number> {
     const regions = Object.fromEntries(shape.zones.map(entry => [entry.zone, entry.region]))
-    const ready = await this.#start('relay', programOf('stand-ins', 'relay/main.js'), {
+    const ready = await this.#start('relay', programPath('stand-ins', 'relay/main.js'), {
       regions: { ...regions, [PLATFORM_ZONE]: shape.platformRegion },
       zoneDelayMilliseconds: shape.zoneDelayMilliseconds,
       regionDelayMilliseconds: shape.regionDelayMilliseconds,
@@ -209,7 +209,7 @@
   async #connectZones(hostListPorts: Readonly<Record<string, number>>): Promise<void> {
     for (const zone of this.zones) {
       const port = hostListPorts[zone] ?? 0
-      await this.#network.connect([zone], { id: hostListIn(zone), zone: PLATFORM_ZONE, port })
+      await this.#network.connect([zone], { id: hostListTarget(zone), zone: PLATFORM_ZONE, port })
     }
     const store = { id: 'store', zone: PLATFORM_ZONE, port: this.platform.storePort }
     const destinations = [
@@ -230,12 +230,12 @@
     }
   }
 
-  async #startServer(server: PlannedServer, leads: boolean): Promise<void> {
+  async #startServer(server: PlannedServer, isPrimary: boolean): Promise<void> {
     const { shape } = this.plan
-    await this.#start(server.id, programOf('stand-ins', 'backendServer/main.js'), {
+    await this.#start(server.id, programPath('stand-ins', 'backendServer/main.js'), {
       port: server.port,
       dataFile: join(this.directory, `${server.id}.data`),
-      initialRole: leads ? 'primary' : 'replica',
+      initialRole: isPrimary ? 'primary' : 'replica',
       initialTerm: FIRST_TERM,
       slots: shape.slots,
       connectionLimit: shape.connectionLimit,
@@ -252,8 +252,11 @@
       .flatMap(database => database.servers)
     return peers.flatMap(peer => {
       const toPort = this.#network.portFrom(server.zone, peer.id)
-      const known = [peer.port, ...this.zones.map(zone => this.#network.portFrom(zone, peer.id))]
-      return [...new Set(known)].map(fromPort => ({ fromPort, toPort }))
+      const knownPorts = [
+        peer.port,
+        ...this.zones.map(zone => this.#network.portFrom(zone, peer.id)),
+      ]
+      return [...new Set(knownPorts)].map(fromPort => ({ fromPort, toPort }))
     })
   }
 
@@ -273,19 +276,22 @@
 
   async #startEntryHost(host: PlannedEntryHost): Promise<void> {
     const common = { entryHost: host.id, zone: host.zone, region: host.region }
-    const at = (port: number): { address: string; port: number } => ({ address: LOOPBACK, port })
-    await this.#start(agentOf(host), programOf('agent', 'main.js'), {
+    const endpoint = (port: number): { address: string; port: number } => ({
+      address: LOOPBACK,
+      port,
+    })
+    await this.#start(agentProcessId(host), programPath('agent', 'main.js'), {
       ...common,
-      listen: at(host.agentPort),
-      proxyListen: at(host.proxyListenPort),
-      store: at(this.#network.portFrom(host.zone, 'store')),
-      hostList: at(this.#network.portFrom(host.zone, hostListIn(host.zone))),
+      listen: endpoint(host.agentPort),
+      proxyListen: endpoint(host.proxyListenPort),
+      store: endpoint(this.#network.portFrom(host.zone, 'store')),
+      hostList: endpoint(this.#network.portFrom(host.zone, hostListTarget(host.zone))),
       ...this.#options.agentSettings,
     })
-    await this.#start(proxyOf(host), programOf('proxy', 'main.js'), {
+    await this.#start(proxyProcessId(host), programPath('proxy', 'main.js'), {
       ...common,
-      listen: at(host.proxyPort),
-      agent: at(host.proxyListenPort),
+      listen: endpoint(host.proxyPort),
+      agent: endpoint(host.proxyListenPort),
       ...this.#options.proxySettings,
     })
   }
@@ -295,6 +301,6 @@
   }
 }
 
-export const agentOf = (host: PlannedEntryHost): string => `agent-of-${host.id}`
-export const proxyOf = (host: PlannedEntryHost): string => `proxy-of-${host.id}`
-const hostListIn = (zone: AvailabilityZoneId): string => `${HOST_LIST}-for-${zone}`
+export const agentProcessId = (host: PlannedEntryHost): string => `agent-of-${host.id}`
+export const proxyProcessId = (host: PlannedEntryHost): string => `proxy-of-${host.id}`
+const hostListTarget = (zone: AvailabilityZoneId): string => `${HOST_LIST}-for-${zone}`
--- a/packages/bench/src/deployment/network.ts
+++ b/packages/bench/src/deployment/network.ts
@@ -24,8 +24,8 @@
       await adminCall(this.#relayPort, 'relay.target', { target: id, port })
     }
     for (const sourceZone of zones) {
-      const way = await this.#way(sourceZone, targetZone, id, port)
-      this.#ports.set(`${sourceZone} ${id}`, way)
+      const localPort = await this.#openRoute(sourceZone, targetZone, id, port)
+      this.#ports.set(`${sourceZone} ${id}`, localPort)
     }
   }
 
@@ -59,7 +59,7 @@
     return this.#relayPort === null ? {} : adminCall(this.#relayPort, 'relay.bytes', {})
   }
 
-  async #way(
+  async #openRoute(
     sourceZone: AvailabilityZoneId,
     targetZone: AvailabilityZoneId,
     target: string,
--- a/packages/bench/src/deployment/plan.ts
+++ b/packages/bench/src/deployment/plan.ts
@@ -45,7 +45,7 @@
   readonly entryHosts: readonly PlannedEntryHost[]
 }
 
-const PORTS_OF_ENTRY_HOST = 3
+const PORTS_PER_ENTRY_HOST = 3
 
 export async function planDeployment(
   shape: DeploymentShape,
@@ -53,10 +53,10 @@
   entryHostCount: number,
 ): Promise<DeploymentPlan> {
   const serverCount = databaseCount * shape.zones.length
-  const ports = [...(await freePorts(serverCount + PORTS_OF_ENTRY_HOST * entryHostCount))]
+  const ports = [...(await freePorts(serverCount + PORTS_PER_ENTRY_HOST * entryHostCount))]
   const nextPort = (): number => ports.pop() ?? 0
-  const databases = countTo(databaseCount).map(index => planDatabase(shape, index, nextPort))
-  const entryHosts = countTo(entryHostCount).map(index => ({
+  const databases = indexesBelow(databaseCount).map(index => planDatabase(shape, index, nextPort))
+  const entryHosts = indexesBelow(entryHostCount).map(index => ({
     id: entryHostId(`entry-${index + 1}`),
     ...zoneAt(shape, index),
     agentPort: nextPort(),
@@ -75,7 +75,7 @@
   const id = databaseId(`${shape.service}-${index + 1}`)
   const homeZones = shape.zones.filter(entry => entry.region === shape.platformRegion).length
   const first = index % homeZones
-  const order = [first, ...countTo(shape.zones.length).filter(zone => zone !== first)]
+  const order = [first, ...indexesBelow(shape.zones.length).filter(zone => zone !== first)]
   const servers = order.map(zone => ({
     id: backendServerId(`${id}-${zoneAt(shape, zone).zone}`),
     database: id,
@@ -91,4 +91,5 @@
   return found
 }
 
-const countTo = (count: number): readonly number[] => Array.from({ length: count }, (_, at) => at)
+const indexesBelow = (count: number): readonly number[] =>
+  Array.from({ length: count }, (_, at) => at)
--- a/packages/bench/src/deployment/platform.ts
+++ b/packages/bench/src/deployment/platform.ts
@@ -31,10 +31,10 @@
   }
 
   /** The first contents of the store and the host list. */
-  async fill(routes: NonNullable<HostListChange['routes']>): Promise<void> {
+  async initialize(routes: NonNullable<HostListChange['routes']>): Promise<void> {
     await this.#setHosts({ hosts: this.#listedHosts(), routes, immediate: true })
     for (const database of this.#plan.databases) {
-      await this.#swap(groupKey(database.id), 0, firstRecord(database))
+      await this.#compareAndSwap(groupKey(database.id), 0, firstRecord(database))
     }
     await this.applyTargets(this.#plan.shape.targets)
   }
@@ -77,14 +77,14 @@
       recentChangeIds: earlier.slice(-RECENT_CHANGES_KEPT),
       targets,
     }
-    await this.#swap(TARGETS_KEY, current?.revision ?? 0, value)
+    await this.#compareAndSwap(TARGETS_KEY, current?.revision ?? 0, value)
   }
 
   #get(key: string): Promise<StoredValue | null> {
     return adminCall(this.storePort, 'store.get', { key })
   }
 
-  async #swap(key: string, expectedRevision: number, value: unknown): Promise<void> {
+  async #compareAndSwap(key: string, expectedRevision: number, value: unknown): Promise<void> {
     const result = await adminCall<StoreCompareAndSwapResult>(
       this.storePort,
       'store.compareAndSwap',
--- a/packages/bench/src/deployment/shapes.ts
+++ b/packages/bench/src/deployment/shapes.ts
@@ -34,7 +34,7 @@
 
 const REGION_BITS_PER_SECOND = 20_000_000
 
-const zoneOf = (zone: string, region: string): ShapeZone => ({
+const shapeZone = (zone: string, region: string): ShapeZone => ({
   zone: availabilityZoneId(zone),
   region: regionId(region),
 })
@@ -43,9 +43,9 @@
   name: 'atlas-quai',
   service: 'quai-sched',
   zones: [
-    zoneOf('tanger-nord', 'tanger'),
-    zoneOf('tanger-sud', 'tanger'),
-    zoneOf('casa-est', 'casa'),
+    shapeZone('tanger-nord', 'tanger'),
+    shapeZone('tanger-sud', 'tanger'),
+    shapeZone('casa-est', 'casa'),
   ],
   platformRegion: regionId('tanger'),
   databaseCount: 3,
@@ -83,9 +83,9 @@
   name: 'shutterbaithak',
   service: 'salon-db',
   zones: [
-    zoneOf('salt-lake', 'kolkata'),
-    zoneOf('new-town', 'kolkata'),
-    zoneOf('matigara', 'siliguri'),
+    shapeZone('salt-lake', 'kolkata'),
+    shapeZone('new-town', 'kolkata'),
+    shapeZone('matigara', 'siliguri'),
   ],
   platformRegion: regionId('kolkata'),
   databaseCount: 3,
--- a/packages/bench/src/failover.ts
+++ b/packages/bench/src/failover.ts
@@ -6,7 +6,7 @@
 import { formatSpread, spreadOf } from './statistics.js'
 import { CallerLoad } from './workload/callerLoad.js'
 import { readFinalContents } from './workload/finalContents.js'
-import { judge } from './workload/history.js'
+import { checkHistory } from './workload/history.js'
 
 const STEPS = ['suspected', 'agreed', 'termTaken', 'fenced', 'chosen', 'promoted', 'completed']
 const WARM_UP_MILLISECONDS = 2000
@@ -47,14 +47,14 @@
       process.stderr.write(`${kind} ${round + 1}: ${describeRound(result)}\n`)
     }
     const operations = await load.stop()
-    const judgement = judge(operations, await readFinalContents(deployment))
+    const checkResult = checkHistory(operations, await readFinalContents(deployment))
     print(kind, results, {
-      acknowledged: judgement.acknowledged,
-      lost: judgement.lost.length,
-      doubled: judgement.doubled.length,
-      ranThoughRefused: judgement.ranThoughRefused.length,
-      stale: judgement.staleReads.length,
-      unknown: judgement.unknown,
+      acknowledged: checkResult.acknowledged,
+      lost: checkResult.lost.length,
+      doubled: checkResult.doubled.length,
+      ranThoughRefused: checkResult.ranThoughRefused.length,
+      stale: checkResult.staleReads.length,
+      unknown: checkResult.unknown,
     })
   } finally {
     await deployment.stop()
@@ -69,7 +69,7 @@
 function print(
   kind: Fault,
   results: readonly RoundResult[],
-  judged: Readonly<Record<string, number>>,
+  checkCounts: Readonly<Record<string, number>>,
 ): void {
   const gap = spreadOf(results.map(result => result.gapMilliseconds))
   const steps = Object.fromEntries(
@@ -78,5 +78,5 @@
   console.log(`gap after ${kind}, milliseconds: ${formatSpread(gap)}`)
   for (const step of STEPS)
     console.log(`  ${step.padEnd(10)} after the fault: ${formatSpread(steps[step] ?? null)}`)
-  console.log(JSON.stringify({ fault: kind, gap, steps, ...judged }))
+  console.log(JSON.stringify({ fault: kind, gap, steps, ...checkCounts }))
 }
--- a/packages/bench/src/failover/failoverRound.ts
+++ b/packages/bench/src/failover/failoverRound.ts
@@ -5,7 +5,7 @@
 import type { Deployment } from '../deployment/index.js'
 import type { PlannedServer } from '../deployment/plan.js'
 import type { CallerLoad } from '../workload/callerLoad.js'
-import { longestWriteSilence } from '../workload/writeSilence.js'
+import { longestWriteGap } from '../workload/writeGap.js'
 
 export type Fault = 'kill' | 'freeze' | 'isolate' | 'move'
 
@@ -19,9 +19,9 @@
 }
 
 const POLL_MILLISECONDS = 20
-const PATIENCE_MILLISECONDS = 15_000
+const CHANGE_TIMEOUT_MILLISECONDS = 15_000
 /** After the change: time in which its last steps and the returning server show. */
-const AFTERMATH_MILLISECONDS = 1000
+const AFTER_CHANGE_MILLISECONDS = 1000
 const SETTLE_MILLISECONDS = 1500
 
 export async function runRound(
@@ -36,24 +36,28 @@
   const from = load.now()
   const wallClock = Date.now()
   const before = load.operations.length
-  await strike(deployment, victim, fault)
-  await until(async () => {
+  await injectFault(deployment, victim, fault)
+  await waitUntil(async () => {
     const record = await deployment.platform.groupRecord(database.id)
     return record.term > term && record.phase.kind === 'stable' && record.primary !== victim.id
   })
-  await delay(AFTERMATH_MILLISECONDS)
+  await delay(AFTER_CHANGE_MILLISECONDS)
   const operations = load.operations.slice(before)
   const events = await readEvents(deployment, victim)
   await recover(deployment, victim, fault)
   await delay(SETTLE_MILLISECONDS)
   return {
-    gapMilliseconds: longestWriteSilence(load.operations, database.id, from),
+    gapMilliseconds: longestWriteGap(load.operations, database.id, from),
     steps: firstOfEachStep(events, term, wallClock),
     unknown: operations.filter(operation => operation.outcome.kind === 'unknown').length,
   }
 }
 
-async function strike(deployment: Deployment, victim: PlannedServer, fault: Fault): Promise<void> {
+async function injectFault(
+  deployment: Deployment,
+  victim: PlannedServer,
+  fault: Fault,
+): Promise<void> {
   switch (fault) {
     case 'kill':
       return deployment.kill(victim.id)
@@ -106,8 +110,8 @@
   return steps
 }
 
-async function until(condition: () => Promise<boolean>): Promise<void> {
-  const deadline = Date.now() + PATIENCE_MILLISECONDS
+async function waitUntil(condition: () => Promise<boolean>): Promise<void> {
+  const deadline = Date.now() + CHANGE_TIMEOUT_MILLISECONDS
   while (!(await condition())) {
     if (Date.now() > deadline) throw new Error('the change of primary did not end in time')
     await delay(POLL_MILLISECONDS)
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -6,7 +6,7 @@
 import { idleProcessorShare } from './fleet/idleProcess.js'
 import { fitLine, fitPair, type LinearFit, type PairFit } from './fleet/linearFit.js'
 import { measureAgent, type Measurement } from './fleet/measureAgent.js'
-import { measureRealFleet, watchedPerHost } from './fleet/realFleet.js'
+import { measureRealFleet, watchedDatabasesPerHost } from './fleet/realFleet.js'
 import type { FleetSize } from './fleet/fleetShape.js'
 
 const FEW_DATABASES = 20
@@ -17,9 +17,9 @@
 const PLANNED: FleetSize = { hosts: MANY_HOSTS, databases: 1900 }
 const REAL: FleetSize = { hosts: 30, databases: 10 }
 /** Measured at the same time, each with its own fakes. */
-const CONCURRENT = 3
+const CONCURRENT_MEASUREMENTS = 3
 /** The fakes may differ from real agents by so much. */
-const AGREEMENT = 0.25
+const MAX_RELATIVE_DIFFERENCE = 0.25
 const SECONDS_PER_DAY = 86_400
 /** Events a day at the planned size: configuration; hosts that fail or are replaced; group records. */
 const EVENTS_PER_DAY = {
@@ -40,7 +40,7 @@
       results.set(size, await measureAgent(size, { hostListKnowsVersions: true }))
     }
   }
-  await Promise.all(Array.from({ length: CONCURRENT }, work))
+  await Promise.all(Array.from({ length: CONCURRENT_MEASUREMENTS }, work))
   return sizes.flatMap(size => results.get(size) ?? [])
 }
 
@@ -156,11 +156,11 @@
   console.log(
     `${REAL.hosts} real agents: peers ${Math.round(real.firstPeerBytes)} B/s at the first host, ` +
       `fakes ${Math.round(fake.quiet.peerBytes)} B/s: ${(difference * 100).toFixed(0)}% apart, ` +
-      `${Math.abs(difference) <= AGREEMENT ? 'within' : 'OUTSIDE'} ${AGREEMENT * 100}%`,
+      `${Math.abs(difference) <= MAX_RELATIVE_DIFFERENCE ? 'within' : 'OUTSIDE'} ${MAX_RELATIVE_DIFFERENCE * 100}%`,
   )
   const { median, worst } = real.changeMilliseconds
   console.log(`a change of targets at the last of them: median ${median} ms, worst ${worst} ms`)
-  const watched = watchedPerHost(PLANNED)
+  const watched = watchedDatabasesPerHost(PLANNED)
   const result = {
     rows,
     fits: fitAll(rows),
--- a/packages/bench/src/fleet/agentProcess.ts
+++ b/packages/bench/src/fleet/agentProcess.ts
@@ -36,20 +36,23 @@
   }
 
   static async start(
-    place: HostLocation,
+    location: HostLocation,
     storePort: number,
     hostListPort: number,
   ): Promise<AgentProcess> {
     const directory = mkdtempSync(join(tmpdir(), 'nutmegcourse-agent-'))
     const file = join(directory, 'agent.yaml')
-    const at = (port: number): { address: string; port: number } => ({ address: LOOPBACK, port })
+    const endpoint = (port: number): { address: string; port: number } => ({
+      address: LOOPBACK,
+      port,
+    })
     const settings = {
-      ...place,
+      ...location,
       logLevel: 'error',
-      listen: at(0),
-      proxyListen: at(0),
-      store: at(storePort),
-      hostList: at(hostListPort),
+      listen: endpoint(0),
+      proxyListen: endpoint(0),
+      store: endpoint(storePort),
+      hostList: endpoint(hostListPort),
     }
     writeFileSync(file, JSON.stringify(settings))
     const child = spawn(process.execPath, [PROGRAM, '--settings', file], {
--- a/packages/bench/src/fleet/fakePeers.ts
+++ b/packages/bench/src/fleet/fakePeers.ts
@@ -30,11 +30,11 @@
 const OPINION_MILLISECONDS = 1000
 const TIMEOUT_MILLISECONDS = 5000
 /** Beside the link that brings an item first, so many of the others bring it before they hear it. */
-const DUPLICATE_SHARE = 0.5
+const DUPLICATE_PROBABILITY = 0.5
 
 export class FakePeers {
-  readonly news = new GossipCore()
-  readonly #places: readonly HostLocation[]
+  readonly gossip = new GossipCore()
+  readonly #locations: readonly HostLocation[]
   readonly #self: EntryHostId
   readonly #random: RandomSource
   readonly #servers: Server[] = []
@@ -45,8 +45,8 @@
   #opinionTimer: NodeJS.Timeout | undefined
   #messages = 0
 
-  constructor(places: readonly HostLocation[], self: EntryHostId, random: RandomSource) {
-    this.#places = places
+  constructor(locations: readonly HostLocation[], self: EntryHostId, random: RandomSource) {
+    this.#locations = locations
     this.#self = self
     this.#random = random
   }
@@ -63,38 +63,38 @@
   /** Listens as every other host; answers their ports, in the order of their places. */
   async listen(): Promise<ReadonlyMap<EntryHostId, number>> {
     const ports = new Map<EntryHostId, number>()
-    for (const place of this.#places) {
-      if (place.entryHost === this.#self) continue
+    for (const location of this.#locations) {
+      if (location.entryHost === this.#self) continue
       const { server, port } = await listen(LOOPBACK, 0, socket => {
-        this.#accept(place, socket)
+        this.#accept(location, socket)
       })
       this.#servers.push(server)
-      ports.set(place.entryHost, port)
+      ports.set(location.entryHost, port)
     }
     return ports
   }
 
   /** Hosts that would choose the agent as their neighbour and that it does not choose itself. */
   findDialers(): readonly HostLocation[] {
-    const self = this.#places.find(place => place.entryHost === this.#self)
+    const self = this.#locations.find(location => location.entryHost === this.#self)
     if (self === undefined) throw new Error('the measured host has no place')
-    const othersOf = (place: HostLocation): readonly HostLocation[] =>
-      this.#places.filter(other => other !== place)
+    const othersOf = (location: HostLocation): readonly HostLocation[] =>
+      this.#locations.filter(other => other !== location)
     const chosen = new Set(chooseNeighbours(self, othersOf(self)))
-    return this.#places.filter(
-      place =>
-        place !== self &&
-        !chosen.has(place.entryHost) &&
-        chooseNeighbours(place, othersOf(place)).includes(this.#self),
+    return this.#locations.filter(
+      location =>
+        location !== self &&
+        !chosen.has(location.entryHost) &&
+        chooseNeighbours(location, othersOf(location)).includes(this.#self),
     )
   }
 
   async dial(dialers: readonly HostLocation[], agentPort: number): Promise<void> {
-    for (const place of dialers) await this.#dialAs(place, agentPort)
-    const isLarge = this.#places.length > LARGE_FLEET_HOSTS
+    for (const location of dialers) await this.#dialAs(location, agentPort)
+    const isLarge = this.#locations.length > LARGE_FLEET_HOSTS
     this.#heartbeat = setInterval(
       () => {
-        this.#beat()
+        this.#sendHeartbeats()
       },
       HEARTBEAT_MILLISECONDS * (isLarge ? LARGE_FLEET_FACTOR : 1),
     )
@@ -110,11 +110,11 @@
 
   /** Something new reaches the agent as it would through its links. */
   inject(item: GossipItem): void {
-    this.news.handle({ kind: 'learned', item })
+    this.gossip.handle({ kind: 'learned', item })
     const links = [...this.#links.values()]
     const first = Math.floor(this.#random.next() * links.length)
     links.forEach((link, index) => {
-      if (index !== first && this.#random.next() >= DUPLICATE_SHARE) return
+      if (index !== first && this.#random.next() >= DUPLICATE_PROBABILITY) return
       this.#messages += 2
       const params: PeerGossipParams = { items: [item] }
       void link.request('peer.news', params, TIMEOUT_MILLISECONDS)
@@ -128,28 +128,28 @@
     for (const link of this.#links.values()) link.close()
   }
 
-  #accept(place: HostLocation, socket: Socket): void {
+  #accept(location: HostLocation, socket: Socket): void {
     const connection: JsonRpcConnection = new JsonRpcConnection(socket, {
-      ...this.#handlers(place),
+      ...this.#handlers(location),
       'peer.hello': () => {
-        this.#addLink(place.entryHost, connection)
-        return helloOf(place)
+        this.#addLink(location.entryHost, connection)
+        return helloOf(location)
       },
     })
   }
 
-  async #dialAs(place: HostLocation, agentPort: number): Promise<void> {
-    const handlers = this.#handlers(place)
+  async #dialAs(location: HostLocation, agentPort: number): Promise<void> {
+    const handlers = this.#handlers(location)
     const opened = await openJsonRpc(LOOPBACK, agentPort, handlers, TIMEOUT_MILLISECONDS)
     if (opened.isErr()) return
-    const hello = helloOf(place)
+    const hello = helloOf(location)
     const answer = await opened.value.request('peer.hello', hello, TIMEOUT_MILLISECONDS)
     if (answer.isErr()) {
       opened.value.close()
       return
     }
-    this.#addLink(place.entryHost, opened.value)
-    this.#dialed.add(place.entryHost)
+    this.#addLink(location.entryHost, opened.value)
+    this.#dialed.add(location.entryHost)
   }
 
   #addLink(host: EntryHostId, connection: JsonRpcConnection): void {
@@ -159,12 +159,12 @@
     })
   }
 
-  #beat(): void {
+  #sendHeartbeats(): void {
     const bothWays = this.#links.size <= LINKS_WITH_HEARTBEATS_BOTH_WAYS
     for (const [host, link] of this.#links) {
       if (!bothWays && !this.#dialed.has(host)) continue
       this.#messages += 2
-      const params = { root: this.news.root }
+      const params = { root: this.gossip.root }
       void link.request('peer.ping', params, TIMEOUT_MILLISECONDS)
     }
   }
@@ -176,25 +176,25 @@
     }
   }
 
-  #handlers(place: HostLocation): RpcHandlers {
+  #handlers(location: HostLocation): RpcHandlers {
     const counted = (handler: (params: unknown) => unknown) => (params: unknown) => {
       this.#messages += 2
       return handler(params)
     }
     return {
-      'peer.identify': () => helloOf(place),
+      'peer.identify': () => helloOf(location),
       'peer.ping': counted(() => this.#pingAnswer()),
       'peer.news': counted(params => {
         for (const item of (params as PeerGossipParams).items) {
-          this.news.handle({ kind: 'learned', item })
+          this.gossip.handle({ kind: 'learned', item })
         }
         return null
       }),
       'peer.compare': counted(params => ({
-        versions: this.news.differingVersions((params as PeerCompareParams).buckets),
+        versions: this.gossip.differingVersions((params as PeerCompareParams).buckets),
       })),
       'peer.fetch': counted(params => ({
-        items: this.news.itemsOf((params as PeerFetchParams).keys),
+        items: this.gossip.itemsOf((params as PeerFetchParams).keys),
       })),
       'peer.probe': counted(() => ({ reached: true })),
       'peer.opinion': counted(() => null),
@@ -202,12 +202,15 @@
   }
 
   #pingAnswer(): unknown {
-    const item = this.news.get('targets')
+    const item = this.gossip.get('targets')
     const document = item?.kind === 'targets' ? item.document : targetsOf(1)
     const { version, changeId } = document
     const confirmation = { version, changeId, ageMilliseconds: 500 }
-    return { root: this.news.root, confirmation }
+    return { root: this.gossip.root, confirmation }
   }
 }
 
-const helloOf = (place: HostLocation): PeerHello => ({ ...place, incarnation: incarnation(1) })
+const helloOf = (location: HostLocation): PeerHello => ({
+  ...location,
+  incarnation: incarnation(1),
+})
--- a/packages/bench/src/fleet/fleetShape.ts
+++ b/packages/bench/src/fleet/fleetShape.ts
@@ -26,36 +26,36 @@
 const regionsOf = (size: FleetSize): number =>
   size.hosts < LARGE_FLEET_HOSTS ? 1 : LARGE_FLEET_REGIONS
 
-function zonePlace(zone: number): Pick<HostLocation, 'zone' | 'region'> {
+function zoneLocation(zone: number): Pick<HostLocation, 'zone' | 'region'> {
   return {
     zone: availabilityZoneId(`zone-${zone}`),
     region: regionId(`region-${Math.floor(zone / ZONES_PER_REGION)}`),
   }
 }
 
-export function hostPlaces(size: FleetSize): readonly HostLocation[] {
+export function hostLocations(size: FleetSize): readonly HostLocation[] {
   const zones = regionsOf(size) * ZONES_PER_REGION
   return Array.from({ length: size.hosts }, (_, index) => ({
     entryHost: entryHostId(`host-${index}`),
-    ...zonePlace(index % zones),
+    ...zoneLocation(index % zones),
   }))
 }
 
-export const listedHost = (place: HostLocation, port: number): ListedEntryHost => ({
+export const listedHost = (location: HostLocation, port: number): ListedEntryHost => ({
   kind: 'entryHost',
-  id: place.entryHost,
+  id: location.entryHost,
   address: LOOPBACK,
   port,
-  zone: place.zone,
-  region: place.region,
+  zone: location.zone,
+  region: location.region,
   state: 'live',
 })
 
-export const memberOf = (place: HostLocation, port: number, life = 1): Member => ({
-  ...place,
+export const memberOf = (location: HostLocation, port: number, incarnationNumber = 1): Member => ({
+  ...location,
   address: LOOPBACK,
   port,
-  incarnation: incarnation(life),
+  incarnation: incarnation(incarnationNumber),
   status: 'alive',
 })
 
@@ -72,7 +72,7 @@
     database: databaseId(`db-${index}`),
     address: LOOPBACK,
     port,
-    ...zonePlace(region * ZONES_PER_REGION + server),
+    ...zoneLocation(region * ZONES_PER_REGION + server),
     state: 'live',
     slots: 3,
     connectionLimit: 25,
--- a/packages/bench/src/fleet/measureAgent.ts
+++ b/packages/bench/src/fleet/measureAgent.ts
@@ -10,7 +10,7 @@
 import { FakePeers } from './fakePeers.js'
 import {
   groupRecordOf,
-  hostPlaces,
+  hostLocations,
   listedHost,
   memberOf,
   serversOf,
@@ -22,12 +22,12 @@
 /** Past the agent's own settling time, and until its code is compiled. */
 const SETTLE_MILLISECONDS = 6000
 const QUIET_MILLISECONDS = 5000
-const LONGEST_START_MILLISECONDS = 20_000
+const START_TIMEOUT_MILLISECONDS = 20_000
 const POLL_MILLISECONDS = 250
 const EVENTS = 20
 const EVENT_SPACING_MILLISECONDS = 75
 /** Never dialed: servers of databases that the agent does not watch. */
-const NO_PORT = 9
+const UNUSED_PORT = 9
 const SEED = 4
 const MEGABYTE = 1024 * 1024
 const MICROSECONDS_PER_SECOND = 1_000_000
@@ -80,8 +80,8 @@
 }
 
 /** Everything around the measured agent. */
-class Surroundings {
-  readonly places: readonly HostLocation[]
+class AgentEnvironment {
+  readonly locations: readonly HostLocation[]
   readonly peers: FakePeers
   readonly #size: FleetSize
   readonly #options: MeasureOptions
@@ -93,8 +93,8 @@
   constructor(size: FleetSize, options: MeasureOptions) {
     this.#size = size
     this.#options = options
-    this.places = hostPlaces(size)
-    this.peers = new FakePeers(this.places, this.self.entryHost, new SeededRandom(SEED))
+    this.locations = hostLocations(size)
+    this.peers = new FakePeers(this.locations, this.self.entryHost, new SeededRandom(SEED))
   }
 
   /** When the agent's process was started. */
@@ -103,7 +103,7 @@
   }
 
   get self(): HostLocation {
-    const [first] = this.places
+    const [first] = this.locations
     if (first === undefined) throw new Error('a fleet has hosts')
     return first
   }
@@ -115,15 +115,18 @@
 
   async startAgent(): Promise<AgentProcess> {
     const ports = await this.peers.listen()
-    for (const place of this.places) {
-      const port = ports.get(place.entryHost)
-      if (port !== undefined) this.#learn({ kind: 'member', member: memberOf(place, port) })
+    for (const location of this.locations) {
+      const port = ports.get(location.entryHost)
+      if (port !== undefined)
+        this.#addToGossip({ kind: 'member', member: memberOf(location, port) })
     }
     const records = Array.from({ length: this.#size.databases }, (_, index) => groupRecordOf(index))
-    for (const record of records) this.#learn({ kind: 'group', record, revision: 1 })
-    this.#learn({ kind: 'targets', document: targetsOf(1) })
+    for (const record of records) this.#addToGossip({ kind: 'group', record, revision: 1 })
+    this.#addToGossip({ kind: 'targets', document: targetsOf(1) })
     const store = new FakeStore(records)
-    const entryHosts = this.places.map(place => listedHost(place, ports.get(place.entryHost) ?? 0))
+    const entryHosts = this.locations.map(location =>
+      listedHost(location, ports.get(location.entryHost) ?? 0),
+    )
     const hosts = [...entryHosts, ...(await this.#startServers())]
     const hostList = fakeHostList(hosts, this.#options.hostListKnowsVersions)
     this.#closers.push(
@@ -149,16 +152,16 @@
     for (const close of this.#closers) close()
   }
 
-  #learn(item: GossipItem): void {
-    this.peers.news.handle({ kind: 'learned', item })
+  #addToGossip(item: GossipItem): void {
+    this.peers.gossip.handle({ kind: 'learned', item })
   }
 
   /** Backend servers run for the databases that the agent watches; the others are only listed. */
   async #startServers(): Promise<readonly ListedBackendServer[]> {
-    const plan = new WatcherPlan(this.places)
+    const plan = new WatcherPlan(this.locations)
     const listed: ListedBackendServer[] = []
     for (let index = 0; index < this.#size.databases; index += 1) {
-      const servers = serversOf(index, this.#size, NO_PORT)
+      const servers = serversOf(index, this.#size, UNUSED_PORT)
       const watchers = plan.watchersOf(databaseId(`db-${index}`), servers)
       const isWatched = watchers.some(watcher => watcher.entryHost === this.self.entryHost)
       if (isWatched) this.#addOpinions(watchers, servers)
@@ -207,24 +210,25 @@
 }
 
 export async function measureAgent(size: FleetSize, options: MeasureOptions): Promise<Measurement> {
-  const around = new Surroundings(size, options)
-  const agent = await around.startAgent()
+  const environment = new AgentEnvironment(size, options)
+  const agent = await environment.startAgent()
   try {
-    await knowsAll(agent, size)
-    const startMilliseconds = performance.now() - around.startedAt
+    await waitUntilFleetKnown(agent, size)
+    const startMilliseconds = performance.now() - environment.startedAt
     await pause(SETTLE_MILLISECONDS)
-    const quiet = await quietCost(agent, around)
+    const quiet = await measureQuietCost(agent, environment)
     const events = {
-      configurationChange: await eventCost(agent, around, quiet, change => ({
+      configurationChange: await measureEventCost(agent, environment, quiet, change => ({
         kind: 'targets',
         document: targetsOf(change),
       })),
-      memberChange: await eventCost(agent, around, quiet, change => {
-        const place = around.places[change % size.hosts] ?? around.self
-        const other = place === around.self ? (around.places[1] ?? place) : place
-        return { kind: 'member', member: memberOf(other, NO_PORT, change) }
+      memberChange: await measureEventCost(agent, environment, quiet, change => {
+        const location = environment.locations[change % size.hosts] ?? environment.self
+        const other =
+          location === environment.self ? (environment.locations[1] ?? location) : location
+        return { kind: 'member', member: memberOf(other, UNUSED_PORT, change) }
       }),
-      groupChange: await eventCost(agent, around, quiet, change => ({
+      groupChange: await measureEventCost(agent, environment, quiet, change => ({
         kind: 'group',
         record: groupRecordOf(change % size.databases),
         revision: change,
@@ -234,7 +238,7 @@
     return {
       ...size,
       watchedDatabases: watched.length,
-      links: around.peers.links,
+      links: environment.peers.links,
       startMilliseconds,
       quiet,
       events,
@@ -242,24 +246,27 @@
     }
   } finally {
     await agent.stop()
-    around.stop()
+    environment.stop()
   }
 }
 
-async function knowsAll(agent: AgentProcess, size: FleetSize): Promise<void> {
-  const deadline = performance.now() + LONGEST_START_MILLISECONDS
+async function waitUntilFleetKnown(agent: AgentProcess, size: FleetSize): Promise<void> {
+  const deadline = performance.now() + START_TIMEOUT_MILLISECONDS
   while (performance.now() < deadline) {
     const { hosts, groups } = await agent.usage()
     if (hosts >= size.hosts && groups >= size.databases) return
     await pause(POLL_MILLISECONDS)
   }
-  throw new Error(`the agent does not know its fleet after ${LONGEST_START_MILLISECONDS} ms`)
+  throw new Error(`the agent does not know its fleet after ${START_TIMEOUT_MILLISECONDS} ms`)
 }
 
-async function quietCost(agent: AgentProcess, around: Surroundings): Promise<QuietCost> {
-  const before = await totals(agent, around)
+async function measureQuietCost(
+  agent: AgentProcess,
+  environment: AgentEnvironment,
+): Promise<QuietCost> {
+  const before = await readTotals(agent, environment)
   await pause(QUIET_MILLISECONDS)
-  const after = await totals(agent, around)
+  const after = await readTotals(agent, environment)
   const seconds = (after.at - before.at) / 1000
   const rate = (key: keyof Totals): number => (after[key] - before[key]) / seconds
   return {
@@ -273,18 +280,18 @@
   }
 }
 
-async function eventCost(
+async function measureEventCost(
   agent: AgentProcess,
-  around: Surroundings,
+  environment: AgentEnvironment,
   quiet: QuietCost,
   eventOf: (change: number) => GossipItem,
 ): Promise<EventCost> {
-  const before = await totals(agent, around)
+  const before = await readTotals(agent, environment)
   for (let change = 2; change < EVENTS + 2; change += 1) {
-    around.peers.inject(eventOf(change))
+    environment.peers.inject(eventOf(change))
     await pause(EVENT_SPACING_MILLISECONDS)
   }
-  const after = await totals(agent, around)
+  const after = await readTotals(agent, environment)
   const seconds = (after.at - before.at) / 1000
   const peerBytes = after.peerBytes - before.peerBytes - quiet.peerBytes * seconds
   const spent = after.processorSeconds - before.processorSeconds - quiet.processorShare * seconds
@@ -294,16 +301,16 @@
   }
 }
 
-async function totals(agent: AgentProcess, around: Surroundings): Promise<Totals> {
+async function readTotals(agent: AgentProcess, environment: AgentEnvironment): Promise<Totals> {
   const { traffic, counters, processorMicroseconds } = await agent.usage()
   const bytes = (part: { sent: number; received: number }): number => part.sent + part.received
   const calls = Object.entries(counters).filter(([name]) => name.startsWith('store.call'))
   return {
     peerBytes: bytes(traffic.peers),
-    watchBytes: around.watchBytes,
+    watchBytes: environment.watchBytes,
     storeBytes: bytes(traffic.store),
     hostListBytes: bytes(traffic.hostList),
-    messages: around.peers.messages,
+    messages: environment.peers.messages,
     processorSeconds: processorMicroseconds / MICROSECONDS_PER_SECOND,
     storeCalls: calls.reduce((sum, [, count]) => sum + count, 0),
     at: performance.now(),
--- a/packages/bench/src/fleet/realFleet.ts
+++ b/packages/bench/src/fleet/realFleet.ts
@@ -5,13 +5,19 @@
 import type { AgentUsageResult, ListedHost } from '@nutmegcourse/protocol'
 import { BackendServer, backendServerSettingsSchema } from '@nutmegcourse/stand-ins'
 import { AgentProcess } from './agentProcess.js'
-import { groupRecordOf, hostPlaces, listedHost, serversOf, type FleetSize } from './fleetShape.js'
+import {
+  groupRecordOf,
+  hostLocations,
+  listedHost,
+  serversOf,
+  type FleetSize,
+} from './fleetShape.js'
 import { FakeStore, fakeHostList, targetsOf } from './platformFakes.js'
 
 const SETTLE_MILLISECONDS = 9000
 const QUIET_MILLISECONDS = 6000
 const POLL_MILLISECONDS = 250
-const LONGEST_START_MILLISECONDS = 20_000
+const START_TIMEOUT_MILLISECONDS = 20_000
 
 export interface RealFleetMeasurement extends FleetSize {
   /** Of the first host, the one that the fakes surround. */
@@ -36,7 +42,7 @@
 const MICROSECONDS_PER_SECOND = 1_000_000
 
 export async function measureRealFleet(size: FleetSize): Promise<RealFleetMeasurement> {
-  const places = hostPlaces(size)
+  const locations = hostLocations(size)
   const records = Array.from({ length: size.databases }, (_, index) => groupRecordOf(index))
   const servers: BackendServer[] = []
   const hosts: ListedHost[] = []
@@ -56,12 +62,12 @@
   const hostListPort = await hostList.start()
   const agents: AgentProcess[] = []
   try {
-    for (const place of places) {
-      const agent = await AgentProcess.start(place, storePort, hostListPort)
+    for (const location of locations) {
+      const agent = await AgentProcess.start(location, storePort, hostListPort)
       agents.push(agent)
-      hosts.push(listedHost(place, agent.ports.listen))
+      hosts.push(listedHost(location, agent.ports.listen))
     }
-    await everyoneKnows(agents, size)
+    await waitUntilFleetKnown(agents, size)
     await pause(SETTLE_MILLISECONDS)
     const before = await Promise.all(agents.map(agent => agent.usage()))
     const from = performance.now()
@@ -78,10 +84,10 @@
 }
 
 /** Mean watched databases by the plan, for a fleet of any size: no process needed. */
-export function watchedPerHost(size: FleetSize): readonly number[] {
-  const places = hostPlaces(size)
-  const plan = new WatcherPlan(places)
-  const counts = new Map(places.map(place => [place.entryHost, 0]))
+export function watchedDatabasesPerHost(size: FleetSize): readonly number[] {
+  const locations = hostLocations(size)
+  const plan = new WatcherPlan(locations)
+  const counts = new Map(locations.map(location => [location.entryHost, 0]))
   for (let index = 0; index < size.databases; index += 1) {
     for (const { entryHost } of plan.watchersOf(
       databaseId(`db-${index}`),
@@ -93,8 +99,11 @@
   return [...counts.values()]
 }
 
-async function everyoneKnows(agents: readonly AgentProcess[], size: FleetSize): Promise<void> {
-  const deadline = performance.now() + LONGEST_START_MILLISECONDS
+async function waitUntilFleetKnown(
+  agents: readonly AgentProcess[],
+  size: FleetSize,
+): Promise<void> {
+  const deadline = performance.now() + START_TIMEOUT_MILLISECONDS
   while (performance.now() < deadline) {
     const usages = await Promise.all(agents.map(agent => agent.usage()))
     const know = usages.every(
@@ -114,14 +123,14 @@
   for (let version = 2; version < CHANGES + 2; version += 1) {
     const from = performance.now()
     store.changeTargets(targetsOf(version))
-    await Promise.all(agents.map(agent => hasVersion(agent, version)))
+    await Promise.all(agents.map(agent => waitForVersion(agent, version)))
     spans.push(Math.round(performance.now() - from))
   }
   spans.sort((left, right) => left - right)
   return { median: spans[Math.floor(spans.length / 2)] ?? 0, worst: spans.at(-1) ?? 0 }
 }
 
-async function hasVersion(agent: AgentProcess, version: number): Promise<void> {
+async function waitForVersion(agent: AgentProcess, version: number): Promise<void> {
   while (((await agent.usage()).targetsVersion ?? 0) < version)
     await pause(CHANGE_POLL_MILLISECONDS)
 }
--- a/packages/bench/src/neighbourGraph.ts
+++ b/packages/bench/src/neighbourGraph.ts
@@ -3,19 +3,19 @@
  * whole and after a cut. The last line is one JSON object.
  */
 import { chooseNeighbours, type HostLocation } from '@nutmegcourse/coordination'
-import { hostPlaces } from './fleet/fleetShape.js'
+import { hostLocations } from './fleet/fleetShape.js'
 
 const SIZES = [9, 30, 300, 1500]
 
 interface Part {
   readonly name: string
-  readonly holds: (host: HostLocation, first: HostLocation) => boolean
+  readonly includes: (host: HostLocation, first: HostLocation) => boolean
 }
 
 const PARTS: readonly Part[] = [
-  { name: 'whole fleet', holds: () => true },
-  { name: 'one region alone', holds: (host, first) => host.region === first.region },
-  { name: 'one zone alone', holds: (host, first) => host.zone === first.zone },
+  { name: 'whole fleet', includes: () => true },
+  { name: 'one region alone', includes: (host, first) => host.region === first.region },
+  { name: 'one zone alone', includes: (host, first) => host.zone === first.zone },
 ]
 
 type Graph = ReadonlyMap<string, ReadonlySet<string>>
@@ -36,30 +36,30 @@
 }
 
 /** Hops from a host to the last one it reaches, and how many it reaches. */
-function spreadFrom(
+function breadthFirstSpread(
   start: string,
   graph: Graph,
 ): { readonly hops: number; readonly reached: number } {
   const seen = new Set([start])
-  let edge = [start]
+  let frontier = [start]
   let hops = 0
   for (;;) {
-    const next = [...new Set(edge.flatMap(id => [...(graph.get(id) ?? [])]))].filter(
+    const next = [...new Set(frontier.flatMap(id => [...(graph.get(id) ?? [])]))].filter(
       id => !seen.has(id),
     )
     if (next.length === 0) return { hops, reached: seen.size }
     for (const id of next) seen.add(id)
-    edge = next
+    frontier = next
     hops += 1
   }
 }
 
 const results = SIZES.flatMap(size => {
-  const all = hostPlaces({ hosts: size, databases: 0 })
-  return PARTS.map(({ name, holds }) => {
+  const all = hostLocations({ hosts: size, databases: 0 })
+  return PARTS.map(({ name, includes: holds }) => {
     const part = all.filter(host => all[0] !== undefined && holds(host, all[0]))
     const graph = linksAmong(all, part)
-    const spreads = [...graph.keys()].map(id => spreadFrom(id, graph))
+    const spreads = [...graph.keys()].map(id => breadthFirstSpread(id, graph))
     const links = [...graph.values()].map(peers => peers.size)
     return {
       hosts: size,
--- a/packages/bench/src/newsQueue.ts
+++ b/packages/bench/src/newsQueue.ts
@@ -16,7 +16,7 @@
 const BATCH_ITEMS = 64
 const STEP_MILLISECONDS = 10
 const BURST_MILLISECONDS = 60_000
-const LONGEST_MILLISECONDS = 600_000
+const MAX_MILLISECONDS = 600_000
 const SEED = 12
 
 interface Workload {
@@ -71,7 +71,7 @@
   readonly catchUpMilliseconds: number
 }
 
-function memberItem(key: number, life: number): GossipItem {
+function memberItem(key: number, value: number): GossipItem {
   return {
     kind: 'member',
     member: {
@@ -80,7 +80,7 @@
       region: regionId('region'),
       address: '127.0.0.1',
       port: 1,
-      incarnation: incarnation(life),
+      incarnation: incarnation(value),
       status: 'alive',
     },
   }
@@ -89,19 +89,19 @@
 class Receiver {
   readonly newest = new Map<string, number>()
   readonly #staleness: number[] = []
-  readonly #madeAt: readonly number[]
+  readonly #createdAt: readonly number[]
 
   /** `madeAt`: when each value, numbered from 0, was made. */
-  constructor(madeAt: readonly number[]) {
-    this.#madeAt = madeAt
+  constructor(createdAt: readonly number[]) {
+    this.#createdAt = createdAt
   }
 
-  take(items: readonly GossipItem[], now: number): void {
+  receive(items: readonly GossipItem[], now: number): void {
     for (const item of items) {
       if (item.kind !== 'member') continue
       const { entryHost, incarnation: value } = item.member
       this.newest.set(entryHost, Math.max(value, this.newest.get(entryHost) ?? -1))
-      this.#staleness.push(now - (this.#madeAt[value] ?? now))
+      this.#staleness.push(now - (this.#createdAt[value] ?? now))
     }
   }
 
@@ -117,37 +117,37 @@
 function run(workload: Workload, policy: (typeof POLICIES)[number]): Outcome {
   const random = new SeededRandom(SEED)
   const queue = new GossipQueue(policy.options)
-  const madeAt: number[] = []
-  const made = new Map<string, number>()
-  const receiver = new Receiver(madeAt)
-  let underWay: { readonly items: readonly GossipItem[]; readonly doneAt: number } | null = null
+  const createdAt: number[] = []
+  const newestByKey = new Map<string, number>()
+  const receiver = new Receiver(createdAt)
+  let inFlight: { readonly items: readonly GossipItem[]; readonly doneAt: number } | null = null
   let longestQueue = 0
   let sent = 0
   let now = 0
   let emptyAt = 0
-  const isOver = (): boolean => now > BURST_MILLISECONDS && underWay === null && queue.length === 0
-  while (!isOver() && now < LONGEST_MILLISECONDS) {
+  const isOver = (): boolean => now > BURST_MILLISECONDS && inFlight === null && queue.length === 0
+  while (!isOver() && now < MAX_MILLISECONDS) {
     now += STEP_MILLISECONDS
     const due = now <= BURST_MILLISECONDS ? (workload.changesPerSecond * now) / 1000 : 0
-    while (madeAt.length < due) {
+    while (createdAt.length < due) {
       const key = Math.floor(random.next() * workload.keys)
-      made.set(`host-${key}`, madeAt.length)
-      queue.push(memberItem(key, madeAt.length))
-      madeAt.push(now)
+      newestByKey.set(`host-${key}`, createdAt.length)
+      queue.push(memberItem(key, createdAt.length))
+      createdAt.push(now)
     }
     longestQueue = Math.max(longestQueue, queue.length)
-    if (underWay !== null && now >= underWay.doneAt) {
-      receiver.take(underWay.items, now)
-      underWay = null
+    if (inFlight !== null && now >= inFlight.doneAt) {
+      receiver.receive(inFlight.items, now)
+      inFlight = null
       emptyAt = now
     }
-    if (underWay === null && queue.length > 0) {
+    if (inFlight === null && queue.length > 0) {
       const items = queue.take(BATCH_ITEMS)
       sent += items.length
-      underWay = { items, doneAt: now + workload.batchMilliseconds }
+      inFlight = { items, doneAt: now + workload.batchMilliseconds }
     }
   }
-  const left = [...made].filter(([key, value]) => receiver.newest.get(key) !== value)
+  const left = [...newestByKey].filter(([key, value]) => receiver.newest.get(key) !== value)
   return {
     workload: workload.name,
     policy: policy.name,
--- a/packages/bench/src/proxyCost.ts
+++ b/packages/bench/src/proxyCost.ts
@@ -4,7 +4,7 @@
  */
 import { setTimeout as pause } from 'node:timers/promises'
 import { parseArgs } from 'node:util'
-import { CostScene, READ_CLASS, WRITE_CLASS } from './proxyCost/costScene.js'
+import { CostFixture, READ_CLASS, WRITE_CLASS } from './proxyCost/costFixture.js'
 import { openCallers, runLoad, type LoadResult } from './proxyCost/loadGenerator.js'
 
 const { values } = parseArgs({
@@ -25,18 +25,18 @@
 type Target = 'direct' | 'relay' | 'proxyReads' | 'proxyWrites'
 const TARGETS: readonly Target[] = ['direct', 'relay', 'proxyReads', 'proxyWrites']
 
-function runTarget(scene: CostScene, target: Target, callers: number): Promise<LoadResult> {
+function runTarget(fixture: CostFixture, target: Target, callers: number): Promise<LoadResult> {
   const plan = { callers, milliseconds: MILLISECONDS, className: READ_CLASS }
   switch (target) {
     case 'direct':
-      return runLoad({ ...plan, port: scene.directPort, processId: scene.processId('primary') })
+      return runLoad({ ...plan, port: fixture.directPort, processId: fixture.processId('primary') })
     case 'relay':
-      return runLoad({ ...plan, port: scene.relayPort, processId: scene.processId('relay') })
+      return runLoad({ ...plan, port: fixture.relayPort, processId: fixture.processId('relay') })
     case 'proxyReads':
-      return runLoad({ ...plan, port: scene.proxyPort, processId: scene.processId('proxy') })
+      return runLoad({ ...plan, port: fixture.proxyPort, processId: fixture.processId('proxy') })
     case 'proxyWrites': {
       const writes = { ...plan, className: WRITE_CLASS }
-      return runLoad({ ...writes, port: scene.proxyPort, processId: scene.processId('proxy') })
+      return runLoad({ ...writes, port: fixture.proxyPort, processId: fixture.processId('proxy') })
     }
   }
 }
@@ -54,7 +54,7 @@
   }
 }
 
-async function measure(scene: CostScene, callers: number): Promise<Record<Target, LoadResult>> {
+async function measure(fixture: CostFixture, callers: number): Promise<Record<Target, LoadResult>> {
   const results: Record<Target, LoadResult[]> = {
     direct: [],
     relay: [],
@@ -62,7 +62,7 @@
     proxyWrites: [],
   }
   for (let round = 0; round < ROUNDS; round += 1) {
-    for (const target of TARGETS) results[target].push(await runTarget(scene, target, callers))
+    for (const target of TARGETS) results[target].push(await runTarget(fixture, target, callers))
   }
   const summary = {
     direct: summarize(results.direct),
@@ -80,19 +80,19 @@
   return summary
 }
 
-async function measureIdle(scene: CostScene): Promise<number> {
-  const before = await scene.proxyResidentBytes()
-  const sockets = await openCallers(scene.proxyPort, IDLE_CALLERS, READ_CLASS)
+async function measureIdle(fixture: CostFixture): Promise<number> {
+  const before = await fixture.proxyResidentBytes()
+  const sockets = await openCallers(fixture.proxyPort, IDLE_CALLERS, READ_CLASS)
   await pause(SETTLING_MILLISECONDS)
-  const after = await scene.proxyResidentBytes()
+  const after = await fixture.proxyResidentBytes()
   for (const socket of sockets) socket.destroy()
   return Math.round((after - before) / IDLE_CALLERS)
 }
 
-const scene = await CostScene.start()
+const fixture = await CostFixture.start()
 try {
   await pause(SETTLING_MILLISECONDS)
-  const idleBytes = await measureIdle(scene)
+  const idleBytes = await measureIdle(fixture)
   console.log(`memory for each of ${IDLE_CALLERS} idle callers: ${idleBytes} bytes`)
   console.log(
     ['callers', 'target', 'per second', 'p50 us', 'p99 us', 'cpu us', 'errors']
@@ -101,7 +101,7 @@
   )
   const byCallers: Record<string, unknown> = {}
   for (const callers of CALLERS) {
-    const { direct, relay, proxyReads, proxyWrites } = await measure(scene, callers)
+    const { direct, relay, proxyReads, proxyWrites } = await measure(fixture, callers)
     byCallers[callers] = {
       direct,
       relay,
@@ -114,6 +114,6 @@
   }
   console.log(JSON.stringify({ rounds: ROUNDS, milliseconds: MILLISECONDS, idleBytes, byCallers }))
 } finally {
-  await scene.stop()
+  await fixture.stop()
 }
 process.exit(0)
--- a/packages/bench/src/proxyCost/bareRelay.ts
+++ b/packages/bench/src/proxyCost/bareRelay.ts
@@ -1,7 +1,7 @@
 /** The floor for one Node process: bytes from each caller to a connection of its own, and back. */
 import { connect } from 'node:net'
 import { listen } from '@nutmegcourse/transport'
-import { readProcessSettings, tellReady } from './processSettings.js'
+import { readProcessSettings, reportReady } from './processSettings.js'
 
 const LOOPBACK = '127.0.0.1'
 const { target } = readProcessSettings()
@@ -13,4 +13,4 @@
   caller.on('error', () => undefined).on('close', () => server.destroy())
   server.on('error', () => undefined).on('close', () => caller.destroy())
 })
-tellReady(port)
+reportReady(port)
--- a/packages/bench/src/proxyCost/costScene.ts
+++ b/packages/bench/src/proxyCost/costFixture.ts
@@ -23,10 +23,10 @@
 const LOOPBACK = '127.0.0.1'
 const CONNECTION_LIMIT = 35
 const STATUS_TIMEOUT_MILLISECONDS = 2000
-const here = (file: string): string => fileURLToPath(new URL(file, import.meta.url))
+const siblingPath = (file: string): string => fileURLToPath(new URL(file, import.meta.url))
 const PROXY = fileURLToPath(new URL('main.js', import.meta.resolve('@nutmegcourse/proxy')))
 
-export class CostScene {
+export class CostFixture {
   readonly #directory = mkdtempSync(join(tmpdir(), 'nutmegcourse-cost-'))
   readonly #processes: ManagedProcess[] = []
   #link: JsonRpcConnection | null = null
@@ -36,19 +36,21 @@
   relayPort = 0
   proxyPort = 0
 
-  static async start(): Promise<CostScene> {
-    const scene = new CostScene()
-    const program = here('leanBackend.js')
+  static async start(): Promise<CostFixture> {
+    const fixture = new CostFixture()
+    const program = siblingPath('leanBackend.js')
     const ports = [
-      await scene.#start('primary', program, { role: 'primary' }),
-      await scene.#start('replica-1', program, { role: 'replica' }),
-      await scene.#start('replica-2', program, { role: 'replica' }),
+      await fixture.#start('primary', program, { role: 'primary' }),
+      await fixture.#start('replica-1', program, { role: 'replica' }),
+      await fixture.#start('replica-2', program, { role: 'replica' }),
     ]
-    scene.directPort = ports[0] ?? 0
-    scene.relayPort = await scene.#start('relay', here('bareRelay.js'), { target: ports[0] })
-    scene.#snapshot = snapshotOf(ports)
-    scene.proxyPort = await scene.#startProxy(await scene.#startAgent())
-    return scene
+    fixture.directPort = ports[0] ?? 0
+    fixture.relayPort = await fixture.#start('relay', siblingPath('bareRelay.js'), {
+      target: ports[0],
+    })
+    fixture.#snapshot = snapshotOf(ports)
+    fixture.proxyPort = await fixture.#startProxy(await fixture.#startAgent())
+    return fixture
   }
 
   /** Resident memory of the proxy, by its own word. */
--- a/packages/bench/src/proxyCost/leanBackend.ts
+++ b/packages/bench/src/proxyCost/leanBackend.ts
@@ -16,7 +16,7 @@
   type FrameSink,
 } from '@nutmegcourse/protocol'
 import { listen } from '@nutmegcourse/transport'
-import { readProcessSettings, tellReady } from './processSettings.js'
+import { readProcessSettings, reportReady } from './processSettings.js'
 
 const LOOPBACK = '127.0.0.1'
 const TEXT_TYPE = 25
@@ -67,7 +67,7 @@
     READY,
   ])
 
-class LeanSession implements FrameSink {
+class MinimalSession implements FrameSink {
   readonly wantsMore = true
   readonly #socket: Socket
   readonly #position: Buffer
@@ -109,6 +109,6 @@
 const { role } = readProcessSettings()
 const position = positionOf(String(role))
 const { port } = await listen(LOOPBACK, 0, socket => {
-  new LeanSession(socket, position)
+  new MinimalSession(socket, position)
 })
-tellReady(port)
+reportReady(port)
--- a/packages/bench/src/proxyCost/loadGenerator.ts
+++ b/packages/bench/src/proxyCost/loadGenerator.ts
@@ -45,12 +45,12 @@
     socket.write(startup)
     sockets.push(socket)
     const chunk = ((await once(socket, 'data')) as [Buffer])[0]
-    if (!endsReady(chunk)) throw new Error(`no greeting: ${chunk.toString('latin1')}`)
+    if (!endsWithReady(chunk)) throw new Error(`no greeting: ${chunk.toString('latin1')}`)
   }
   return sockets
 }
 
-const endsReady = (chunk: Buffer): boolean =>
+const endsWithReady = (chunk: Buffer): boolean =>
   chunk.length >= READY_BYTES && chunk[chunk.length - READY_BYTES] === ServerMessage.readyForQuery
 
 /** Keeps every caller busy; what happens while connections open and code warms up is not counted. */
@@ -59,7 +59,7 @@
   const load = new RunningLoad(sockets)
   await pause(WARMUP_MILLISECONDS)
   const processorBefore = processorMicroseconds(plan.processId)
-  load.count()
+  load.startCounting()
   const start = performance.now()
   await pause(plan.milliseconds)
   const seconds = (performance.now() - start) / 1000
@@ -85,10 +85,10 @@
   #errors = 0
 
   constructor(sockets: readonly Socket[]) {
-    for (const socket of sockets) this.#keepAsking(socket)
+    for (const socket of sockets) this.#runCaller(socket)
   }
 
-  count(): void {
+  startCounting(): void {
     this.#counting = true
   }
 
@@ -97,11 +97,11 @@
     return { histogram: this.#histogram, errors: this.#errors }
   }
 
-  #keepAsking(socket: Socket): void {
+  #runCaller(socket: Socket): void {
     let start = performance.now()
     socket.on('data', (chunk: Buffer) => {
       if (chunk[0] === ServerMessage.errorResponse) this.#errors += 1
-      if (!endsReady(chunk)) return
+      if (!endsWithReady(chunk)) return
       const now = performance.now()
       const microseconds = Math.max(1, Math.round((now - start) * MICROSECONDS))
       if (this.#counting) this.#histogram.recordValue(microseconds)
--- a/packages/bench/src/proxyCost/processSettings.ts
+++ b/packages/bench/src/proxyCost/processSettings.ts
@@ -8,6 +8,6 @@
   return parse(readFileSync(values.settings ?? '', 'utf8')) as Record<string, unknown>
 }
 
-export function tellReady(port: number): void {
+export function reportReady(port: number): void {
   process.stdout.write(`${JSON.stringify({ ready: true, port })}\n`)
 }
--- a/packages/bench/src/routing.ts
+++ b/packages/bench/src/routing.ts
@@ -7,7 +7,7 @@
  */
 import { parseArgs } from 'node:util'
 import { measureDecisions } from './routing/decisions.js'
-import { measureSessionWays } from './routing/sessionWays.js'
+import { measureSessionTracking } from './routing/sessionTracking.js'
 import { measureShareAgainstLag } from './routing/shareAgainstLag.js'
 
 const { values } = parseArgs({ options: { seconds: { type: 'string', default: '2' } } })
@@ -15,6 +15,6 @@
 console.table(decisions)
 const replicaShare = measureShareAgainstLag()
 console.table(replicaShare)
-const sessionWays = measureSessionWays()
+const sessionWays = measureSessionTracking()
 console.table(sessionWays)
 console.log(JSON.stringify({ decisionsPerSecond: decisions, replicaShare, sessionWays }))
--- a/packages/bench/src/routing/benchCore.ts
+++ b/packages/bench/src/routing/benchCore.ts
@@ -117,7 +117,7 @@
     return effects
   }
 
-  answer(name: BenchServer, offset: number, askedAt: number): readonly ProxyEffect[] {
+  reportPosition(name: BenchServer, offset: number, askedAt: number): readonly ProxyEffect[] {
     return this.send({
       kind: 'positionAnswered',
       server: backendServerId(name),
@@ -130,7 +130,7 @@
     })
   }
 
-  ran(id: string, offset: number | null): readonly ProxyEffect[] {
+  completeRequest(id: string, offset: number | null): readonly ProxyEffect[] {
     return this.send({
       kind: 'requestRan',
       request: requestId(id),
--- a/packages/bench/src/routing/decisions.ts
+++ b/packages/bench/src/routing/decisions.ts
@@ -30,7 +30,7 @@
 function measure(what: string, workClass: string, seconds: number): DecisionRate {
   const bench = new BenchCore(CLASSES)
   bench.start()
-  for (const name of BENCH_SERVERS) bench.answer(name, 1, bench.clock.now())
+  for (const name of BENCH_SERVERS) bench.reportPosition(name, 1, bench.clock.now())
   const run = new RateRun(bench, workClass)
   run.batch()
   run.reset()
@@ -82,7 +82,7 @@
       const started = performance.now()
       const placed = this.#place(start, group)
       const placedAt = performance.now()
-      if (placed < group) this.#warm()
+      if (placed < group) this.#warmUp()
       this.#finish(start, group)
       this.#requests += group
       this.#placingMilliseconds += placedAt - started
@@ -96,17 +96,17 @@
     for (const arrival of this.#arrivals.slice(start, start + count)) {
       const effects = this.#bench.core.handle(arrival, now)
       if (effects[0]?.kind === 'run') placed += 1
-      else this.#open(effects)
+      else this.#openConnections(effects)
     }
     return placed
   }
 
   /** The first requests of a run open the connections that later ones find. */
-  #warm(): void {
+  #warmUp(): void {
     this.#bench.clock.advance(1)
   }
 
-  #open(effects: ReturnType<BenchCore['send']>): void {
+  #openConnections(effects: ReturnType<BenchCore['send']>): void {
     for (const effect of effects) {
       if (effect.kind !== 'open') continue
       this.#bench.send({ kind: 'connectionOpened', connection: effect.connection })
@@ -116,13 +116,13 @@
   #finish(start: number, count: number): void {
     for (let index = start; index < start + count; index += 1) {
       this.#offset += 1
-      this.#bench.ran(`r${index}`, this.#writes ? this.#offset : null)
+      this.#bench.completeRequest(`r${index}`, this.#writes ? this.#offset : null)
     }
     if (!this.#writes) return
     this.#bench.clock.advance(2)
     this.#bench.send({ kind: 'tick' })
     for (const name of BENCH_SERVERS) {
-      this.#bench.answer(name, this.#offset, this.#bench.clock.now())
+      this.#bench.reportPosition(name, this.#offset, this.#bench.clock.now())
     }
   }
 }
--- a/packages/bench/src/routing/virtualLoad.ts
+++ b/packages/bench/src/routing/virtualLoad.ts
@@ -12,7 +12,7 @@
 } from './benchCore.js'
 
 /** How a proxy learns what a session has written, wherever it wrote. */
-export type SessionWay =
+export type SessionTracking =
   /** The caller brings its last position along. */
   | 'token'
   /** One entry host, by the session's hash, keeps it: a round trip before each read. */
@@ -23,7 +23,7 @@
 export interface LoadShape {
   readonly place: BenchPlace
   readonly classTargets: ClassTargets
-  readonly sessions: SessionWay
+  readonly sessions: SessionTracking
   /** How far the replica of the primary's region, and the other one, trail the primary. */
   readonly nearLagMilliseconds: number
   readonly farLagMilliseconds: number
@@ -49,17 +49,17 @@
 const BETWEEN_REGIONS_MILLISECONDS = 20
 const WARM_UP_MILLISECONDS = 2000
 
-interface PlannedEvent {
+interface ScheduledEvent {
   readonly at: number
   readonly order: number
-  readonly happen: () => void
+  readonly action: () => void
 }
 
 export class VirtualLoad {
   readonly #shape: LoadShape
   readonly #bench: BenchCore
   readonly #random = new SeededRandom(7)
-  readonly #events = new TinyQueue<PlannedEvent>(
+  readonly #events = new TinyQueue<ScheduledEvent>(
     [],
     (left, right) => left.at - right.at || left.order - right.order,
   )
@@ -82,21 +82,21 @@
       replicaReadShare: 0,
     }
     this.#bench = new BenchCore([shape.classTargets, write], shape.place, effects => {
-      this.#carryOut(effects)
+      this.#executeEffects(effects)
     })
   }
 
   run(): LoadOutcome {
     const { readsPerSecond, writesPerSecond, seconds } = this.#shape
     this.#bench.start()
-    this.#planArrivals('read', readsPerSecond)
-    this.#planArrivals('write', writesPerSecond)
+    this.#scheduleArrivals('read', readsPerSecond)
+    this.#scheduleArrivals('write', writesPerSecond)
     const end = WARM_UP_MILLISECONDS + seconds * 1000
     for (;;) {
       const next = this.#events.pop()
       if (next === undefined || next.at > end) break
       this.#bench.clock.advance(Math.max(next.at - this.#now(), 0))
-      next.happen()
+      next.action()
     }
     return this.#outcome()
   }
@@ -114,12 +114,12 @@
     }
   }
 
-  #planArrivals(kind: 'read' | 'write', perSecond: number): void {
+  #scheduleArrivals(kind: 'read' | 'write', perSecond: number): void {
     if (perSecond === 0) return
     const gap = (-Math.log(1 - this.#random.next()) / perSecond) * 1000
-    this.#after(gap, () => {
+    this.#schedule(gap, () => {
       this.#arrive(kind)
-      this.#planArrivals(kind, perSecond)
+      this.#scheduleArrivals(kind, perSecond)
     })
   }
 
@@ -141,21 +141,21 @@
         class: workClass,
       })
     }
-    if (sessions === 'holder') this.#askHolder(send)
+    if (sessions === 'holder') this.#queryHolder(send)
     else send()
   }
 
   /** Holders are spread evenly over the zones, as entry hosts are. */
-  #askHolder(then: () => void): void {
+  #queryHolder(then: () => void): void {
     const zone = BENCH_SERVERS[Math.floor(this.#random.next() * BENCH_SERVERS.length)] ?? 'a'
-    this.#after(2 * this.#delayTo(zone), then)
+    this.#schedule(2 * this.#delayTo(zone), then)
   }
 
-  #carryOut(effects: readonly ProxyEffect[]): void {
+  #executeEffects(effects: readonly ProxyEffect[]): void {
     for (const effect of effects) {
       switch (effect.kind) {
         case 'open':
-          this.#after(10, () => {
+          this.#schedule(10, () => {
             this.#bench.send({ kind: 'connectionOpened', connection: effect.connection })
           })
           break
@@ -178,16 +178,16 @@
           assertNever(effect)
       }
     }
-    this.#planWake()
+    this.#scheduleWake()
   }
 
   #answerPosition(server: BenchServer): void {
     const askedAt = this.#now()
     const delay = this.#delayTo(server)
-    this.#after(delay, () => {
+    this.#schedule(delay, () => {
       const offset = this.#offsetOf(server)
-      this.#after(delay, () => {
-        this.#bench.answer(server, offset, askedAt)
+      this.#schedule(delay, () => {
+        this.#bench.reportPosition(server, offset, askedAt)
       })
     })
   }
@@ -195,17 +195,17 @@
   #runRequest(request: string, server: BenchServer): void {
     const delay = this.#delayTo(server)
     const isWrite = request.startsWith('write')
-    this.#after(delay + SERVICE_MILLISECONDS, () => {
+    this.#schedule(delay + SERVICE_MILLISECONDS, () => {
       if (isWrite) this.#commits.push(this.#now())
       const offset = isWrite ? this.#commits.length : null
-      this.#after(delay, () => {
-        if (!isWrite) this.#readDone(request, server)
-        this.#bench.ran(request, offset)
+      this.#schedule(delay, () => {
+        if (!isWrite) this.#recordRead(request, server)
+        this.#bench.completeRequest(request, offset)
       })
     })
   }
 
-  #readDone(request: string, server: BenchServer): void {
+  #recordRead(request: string, server: BenchServer): void {
     if (!this.#isMeasured()) return
     this.#latencies.push(this.#now() - (this.#arrivedAt.get(request) ?? 0))
     if (server !== 'a') this.#replicaReads += 1
@@ -229,11 +229,11 @@
     return isSameZone ? IN_ZONE_MILLISECONDS : BETWEEN_ZONES_MILLISECONDS
   }
 
-  #planWake(): void {
+  #scheduleWake(): void {
     const wake = this.#bench.core.nextWake(this.#bench.clock.now())
     if (wake === null || wake >= this.#wakeAt) return
     this.#wakeAt = wake
-    this.#after(Math.max(wake - this.#now(), 0.05), () => {
+    this.#schedule(Math.max(wake - this.#now(), 0.05), () => {
       if (this.#wakeAt !== wake) return
       this.#wakeAt = Number.POSITIVE_INFINITY
       this.#bench.send({ kind: 'tick' })
@@ -244,9 +244,9 @@
     return this.#now() >= WARM_UP_MILLISECONDS
   }
 
-  #after(delay: number, happen: () => void): void {
+  #schedule(delay: number, happen: () => void): void {
     this.#order += 1
-    this.#events.push({ at: this.#now() + delay, order: this.#order, happen })
+    this.#events.push({ at: this.#now() + delay, order: this.#order, action: happen })
   }
 
   #now(): number {
--- a/packages/bench/src/soak.ts
+++ b/packages/bench/src/soak.ts
@@ -13,10 +13,10 @@
 import { pickFault, type Fault } from './soak/faults.js'
 import { CallerLoad } from './workload/callerLoad.js'
 import { readFinalContents } from './workload/finalContents.js'
-import { judge, type Judgement } from './workload/history.js'
-import { longestWriteSilence } from './workload/writeSilence.js'
+import { checkHistory, type HistoryCheckResult } from './workload/history.js'
+import { longestWriteGap } from './workload/writeGap.js'
 
-const SHORTEST_STEP_MILLISECONDS = 300
+const MIN_STEP_MILLISECONDS = 300
 const RECOVERY_MILLISECONDS = 20_000
 const WARM_UP_MILLISECONDS = 2500
 
@@ -56,46 +56,45 @@
   readClass: classOf('read'),
 })
 const start = load.now()
-const tell = (text: string): void => {
+const log = (text: string): void => {
   process.stdout.write(`${Math.round(load.now() - start)} ms: ${text}\n`)
 }
 
-await disturb(Number(values.seconds) * 1000)
+await injectFaults(Number(values.seconds) * 1000)
 const recovered = await writesRecover()
 const operations = await load.stop()
-const judgement = judge(operations, await readFinalContents(deployment))
+const checkResult = checkHistory(operations, await readFinalContents(deployment))
 const keep = values['keep-logs']
 if (keep !== undefined) cpSync(deployment.directory, keep, { recursive: true })
 await deployment.stop()
-process.stdout.write(`${JSON.stringify(summarize(judgement))}\n`)
-process.exitCode = recovered && isClean(judgement) ? 0 : 1
+process.stdout.write(`${JSON.stringify(summarize(checkResult))}\n`)
+process.exitCode = recovered && isClean(checkResult) ? 0 : 1
 
-async function disturb(span: number): Promise<void> {
-  const standing: Fault[] = []
+async function injectFaults(span: number): Promise<void> {
+  const activeFaults: Fault[] = []
   while (load.now() - start < span) {
-    const healsNow = standing.length >= Number(values.faults) || random.next() < 0.4
-    const oldest = healsNow ? standing.shift() : undefined
+    const shouldHeal = activeFaults.length >= Number(values.faults) || random.next() < 0.4
+    const oldest = shouldHeal ? activeFaults.shift() : undefined
     if (oldest !== undefined) await heal(oldest)
-    else await begin(standing)
+    else await injectRandomFault(activeFaults)
     await delay(
-      SHORTEST_STEP_MILLISECONDS +
-        random.next() * (Number(values.pace) - SHORTEST_STEP_MILLISECONDS),
+      MIN_STEP_MILLISECONDS + random.next() * (Number(values.pace) - MIN_STEP_MILLISECONDS),
     )
   }
-  for (const fault of standing) await heal(fault)
+  for (const fault of activeFaults) await heal(fault)
 }
 
-async function begin(standing: Fault[]): Promise<void> {
+async function injectRandomFault(activeFaults: Fault[]): Promise<void> {
   const fault = pickFault(deployment, random)
-  if (standing.some(other => other.name === fault.name)) return
-  tell(fault.name)
-  await fault.begin()
-  standing.push(fault)
+  if (activeFaults.some(other => other.name === fault.name)) return
+  log(fault.name)
+  await fault.inject()
+  activeFaults.push(fault)
 }
 
 async function heal(fault: Fault): Promise<void> {
   await fault.heal()
-  tell(`healed: ${fault.name}`)
+  log(`healed: ${fault.name}`)
 }
 
 /** Whether every database takes writes again, and how soon. */
@@ -105,12 +104,12 @@
     deployment.plan.databases.map(each => each.id).filter(id => !acknowledgedSince(id, healed))
   while (missing().length > 0) {
     if (load.now() - healed > RECOVERY_MILLISECONDS) {
-      tell(`no writes succeed on ${missing().join(', ')}`)
+      log(`no writes succeed on ${missing().join(', ')}`)
       return false
     }
     await delay(20)
   }
-  tell(`writes succeed on every database ${Math.round(load.now() - healed)} ms after the last heal`)
+  log(`writes succeed on every database ${Math.round(load.now() - healed)} ms after the last heal`)
   await delay(1000)
   return true
 }
@@ -125,17 +124,17 @@
   )
 }
 
-function summarize(found: Judgement): Record<string, unknown> {
+function summarize(result: HistoryCheckResult): Record<string, unknown> {
   const [first] = deployment.plan.databases
   return {
-    ...found,
+    ...result,
     seed: Number(values.seed),
-    refusals: Object.fromEntries(found.refusals),
-    longestWriteSilenceMilliseconds: longestWriteSilence(operations, first?.id ?? '', start),
+    refusals: Object.fromEntries(result.refusals),
+    longestWriteSilenceMilliseconds: longestWriteGap(operations, first?.id ?? '', start),
   }
 }
 
-function isClean(found: Judgement): boolean {
-  const { lost, doubled, ranThoughRefused, staleReads } = found
+function isClean(result: HistoryCheckResult): boolean {
+  const { lost, doubled, ranThoughRefused, staleReads } = result
   return [lost, doubled, ranThoughRefused, staleReads].every(each => each.length === 0)
 }
--- a/packages/bench/src/soak/faults.ts
+++ b/packages/bench/src/soak/faults.ts
@@ -1,29 +1,29 @@
 /** The faults of a soak: each begins, lasts and is healed. */
 import type { RandomSource } from '@nutmegcourse/shared'
 import { pick } from '@nutmegcourse/stand-ins'
-import { agentOf, proxyOf, type Deployment } from '../deployment/deployment.js'
-import { pauseReplication } from '../deployment/serverOrders.js'
+import { agentProcessId, proxyProcessId, type Deployment } from '../deployment/deployment.js'
+import { pauseReplication } from '../deployment/serverCommands.js'
 
 export interface Fault {
   readonly name: string
-  begin(): Promise<void>
+  inject(): Promise<void>
   heal(): Promise<void>
 }
 
-type FaultMaker = (deployment: Deployment, random: RandomSource) => Fault
+type FaultFactory = (deployment: Deployment, random: RandomSource) => Fault
 
-function killed(deployment: Deployment, id: string): Fault {
+function killFault(deployment: Deployment, id: string): Fault {
   return {
     name: `kill ${id}`,
-    begin: () => deployment.kill(id),
+    inject: () => deployment.kill(id),
     heal: () => deployment.restart(id),
   }
 }
 
-function frozen(deployment: Deployment, id: string): Fault {
+function freezeFault(deployment: Deployment, id: string): Fault {
   return {
     name: `freeze ${id}`,
-    begin: () => {
+    inject: () => {
       deployment.freeze(id)
       return Promise.resolve()
     },
@@ -34,26 +34,30 @@
   }
 }
 
-const serverOf: (deployment: Deployment, random: RandomSource) => string = (deployment, random) =>
+const pickServer: (deployment: Deployment, random: RandomSource) => string = (deployment, random) =>
   pick(
     deployment.plan.databases.flatMap(database => database.servers.map(server => server.id)),
     random,
   )
 
-const MAKERS: readonly FaultMaker[] = [
-  (deployment, random) => killed(deployment, serverOf(deployment, random)),
-  (deployment, random) => killed(deployment, serverOf(deployment, random)),
-  (deployment, random) => frozen(deployment, serverOf(deployment, random)),
-  (deployment, random) => frozen(deployment, serverOf(deployment, random)),
-  (deployment, random) => killed(deployment, agentOf(pick(deployment.plan.entryHosts, random))),
-  (deployment, random) => frozen(deployment, agentOf(pick(deployment.plan.entryHosts, random))),
-  (deployment, random) => killed(deployment, proxyOf(pick(deployment.plan.entryHosts, random))),
-  (deployment, random) => frozen(deployment, proxyOf(pick(deployment.plan.entryHosts, random))),
+const FAULT_FACTORIES: readonly FaultFactory[] = [
+  (deployment, random) => killFault(deployment, pickServer(deployment, random)),
+  (deployment, random) => killFault(deployment, pickServer(deployment, random)),
+  (deployment, random) => freezeFault(deployment, pickServer(deployment, random)),
+  (deployment, random) => freezeFault(deployment, pickServer(deployment, random)),
+  (deployment, random) =>
+    killFault(deployment, agentProcessId(pick(deployment.plan.entryHosts, random))),
+  (deployment, random) =>
+    freezeFault(deployment, agentProcessId(pick(deployment.plan.entryHosts, random))),
+  (deployment, random) =>
+    killFault(deployment, proxyProcessId(pick(deployment.plan.entryHosts, random))),
+  (deployment, random) =>
+    freezeFault(deployment, proxyProcessId(pick(deployment.plan.entryHosts, random))),
   (deployment, random) => {
     const zone = pick(deployment.zones, random)
     return {
       name: `isolate ${zone}`,
-      begin: () => deployment.isolate(zone),
+      inject: () => deployment.isolate(zone),
       heal: () => deployment.rejoin(zone),
     }
   },
@@ -63,7 +67,7 @@
     const away = zones.filter(each => each.region !== platformRegion).map(each => each.zone)
     return {
       name: 'cut the regions',
-      begin: () => deployment.cut(home, away),
+      inject: () => deployment.cut(home, away),
       heal: () => deployment.heal(home, away),
     }
   },
@@ -71,18 +75,18 @@
     const [first, second] = [pick(deployment.zones, random), pick(deployment.zones, random)]
     return {
       name: `break connections of ${first} and ${second}`,
-      begin: () => deployment.resetConnections([first], [second]),
+      inject: () => deployment.resetConnections([first], [second]),
       heal: () => Promise.resolve(),
     }
   },
   deployment => ({
     name: 'store outage',
-    begin: () => deployment.platform.setStoreFaults({ outage: true }),
+    inject: () => deployment.platform.setStoreFaults({ outage: true }),
     heal: () => deployment.platform.setStoreFaults({ outage: false }),
   }),
   deployment => ({
     name: 'lose the answer of a swap',
-    begin: () => deployment.platform.setStoreFaults({ loseNextAnswers: 1 }),
+    inject: () => deployment.platform.setStoreFaults({ loseNextAnswers: 1 }),
     heal: () => deployment.platform.setStoreFaults({ loseNextAnswers: 0 }),
   }),
   (deployment, random) => {
@@ -93,11 +97,11 @@
       pauseReplication(server, paused).catch(() => undefined)
     return {
       name: `pause replication of ${server.id}`,
-      begin: () => order(true),
+      inject: () => order(true),
       heal: () => order(false),
     }
   },
 ]
 
-export const pickFault: FaultMaker = (deployment, random) =>
-  pick(MAKERS, random)(deployment, random)
+export const pickFault: FaultFactory = (deployment, random) =>
+  pick(FAULT_FACTORIES, random)(deployment, random)
--- a/packages/bench/src/watcherPlacement.ts
+++ b/packages/bench/src/watcherPlacement.ts
@@ -4,7 +4,7 @@
  */
 import { WatcherPlan, type HostLocation } from '@nutmegcourse/coordination'
 import { databaseId } from '@nutmegcourse/shared'
-import { hostPlaces, serversOf, type FleetSize } from './fleet/fleetShape.js'
+import { hostLocations, serversOf, type FleetSize } from './fleet/fleetShape.js'
 
 const SIZES: readonly FleetSize[] = [
   { hosts: 6, databases: 3 },
@@ -63,7 +63,7 @@
 }
 
 const results = SIZES.flatMap(size => {
-  const hosts = hostPlaces(size)
+  const hosts = hostLocations(size)
   const before = assign(hosts, size)
   return LOSSES.map(({ name, remaining }) => {
     const left = remaining(hosts)
--- a/packages/bench/src/workload/callerLoad.ts
+++ b/packages/bench/src/workload/callerLoad.ts
@@ -12,7 +12,7 @@
 import { LOOPBACK } from '../deployment/platform.js'
 import type { Operation } from './operation.js'
 import { ProbePool } from './probePool.js'
-import { SessionCaller, type ProxyPlace } from './sessionCaller.js'
+import { SessionCaller, type ProxyAddress } from './sessionCaller.js'
 
 export interface CallerLoadOptions {
   readonly sessionsPerDatabase: number
@@ -29,9 +29,9 @@
 
 const CONNECT_TIMEOUT_MILLISECONDS = 3000
 const PAUSE_AFTER_REFUSAL_MILLISECONDS = 50
-const LONGEST_PAUSE_MILLISECONDS = 500
+const MAX_PAUSE_MILLISECONDS = 500
 /** Requests still unanswered this long after the stop are given up as unknown. */
-const STOP_PATIENCE_MILLISECONDS = 10_000
+const STOP_TIMEOUT_MILLISECONDS = 10_000
 const EVENT_SHARE = 0.4
 const COUNTER_SHARE = 0.3
 
@@ -80,13 +80,13 @@
 
   async stop(): Promise<readonly Operation[]> {
     this.#stopping = true
-    const patience = new AbortController()
+    const timeout = new AbortController()
     const finished = Promise.all(this.#loops)
     await Promise.race([
       finished,
-      delay(STOP_PATIENCE_MILLISECONDS, undefined, { signal: patience.signal }),
+      delay(STOP_TIMEOUT_MILLISECONDS, undefined, { signal: timeout.signal }),
     ])
-    patience.abort()
+    timeout.abort()
     await Promise.all(this.#callers.map(caller => caller.close()))
     await finished
     return this.#operations
@@ -95,7 +95,7 @@
   #startSession(
     database: PlannedDatabase,
     name: string,
-    proxies: readonly ProxyPlace[],
+    proxies: readonly ProxyAddress[],
     seed: number,
   ): void {
     const random = new SeededRandom(seed)
@@ -104,12 +104,12 @@
   }
 
   /** A probe that waits for its answer holds up no other: they show when writes succeed again. */
-  #startProbe(database: PlannedDatabase, proxies: readonly ProxyPlace[]): void {
+  #startProbe(database: PlannedDatabase, proxies: readonly ProxyAddress[]): void {
     const interval = this.#options.probeMilliseconds
     if (interval === undefined) return
-    const pools = proxies.map(place => {
+    const pools = proxies.map(proxy => {
       const make = (index: number): SessionCaller =>
-        this.#newCaller(database, `probe-${place.port}-${index}`, [place], new SeededRandom(index))
+        this.#newCaller(database, `probe-${proxy.port}-${index}`, [proxy], new SeededRandom(index))
       return new ProbePool(make)
     })
     this.#loops.push(this.#probe(pools, interval))
@@ -126,16 +126,16 @@
   }
 
   async #probeOnce(pool: ProbePool | undefined): Promise<void> {
-    const caller = pool?.take() ?? null
+    const caller = pool?.acquire() ?? null
     if (pool === undefined || caller === null) return
     this.#operations.push(await caller.writeEvent(this.#options.writeClass))
-    pool.giveBack(caller)
+    pool.release(caller)
   }
 
   #newCaller(
     database: PlannedDatabase,
     name: string,
-    proxies: readonly ProxyPlace[],
+    proxies: readonly ProxyAddress[],
     random: RandomSource,
   ): SessionCaller {
     const caller = new SessionCaller(
@@ -171,6 +171,6 @@
   #pauseAfter({ outcome }: Operation): number {
     if (outcome.kind === 'acknowledged') return this.#options.thinkMilliseconds
     const wanted = outcome.kind === 'notRun' ? outcome.retryAfterMilliseconds : null
-    return Math.min(wanted ?? PAUSE_AFTER_REFUSAL_MILLISECONDS, LONGEST_PAUSE_MILLISECONDS)
+    return Math.min(wanted ?? PAUSE_AFTER_REFUSAL_MILLISECONDS, MAX_PAUSE_MILLISECONDS)
   }
 }
--- a/packages/bench/src/workload/history.ts
+++ b/packages/bench/src/workload/history.ts
@@ -12,7 +12,7 @@
   readonly counters: ReadonlyMap<SessionId, number>
 }
 
-export interface Judgement {
+export interface HistoryCheckResult {
   readonly acknowledged: number
   /** Acknowledged, yet not there in the end. */
   readonly lost: readonly string[]
@@ -27,22 +27,24 @@
   readonly refusals: ReadonlyMap<string, number>
 }
 
-export function judge(
+export function checkHistory(
   operations: readonly Operation[],
   finals: ReadonlyMap<string, FinalContents>,
-): Judgement {
+): HistoryCheckResult {
   const writes = operations.filter(operation => operation.kind !== 'counterRead')
   const stored = countStored(finals)
   const events = operations.filter(operation => operation.kind === 'eventWrite')
   const lostEvents = events.filter(
     event => event.outcome.kind === 'acknowledged' && !stored.has(event.id),
   )
-  const ghosts = events.filter(event => event.outcome.kind === 'notRun' && stored.has(event.id))
+  const executedRefusals = events.filter(
+    event => event.outcome.kind === 'notRun' && stored.has(event.id),
+  )
   return {
     acknowledged: writes.filter(write => write.outcome.kind === 'acknowledged').length,
     lost: [...lostEvents.map(event => event.id), ...findLostCounters(operations, finals)],
     doubled: [...stored].filter(([, count]) => count > 1).map(([id]) => id),
-    ranThoughRefused: ghosts.map(event => event.id),
+    ranThoughRefused: executedRefusals.map(event => event.id),
     staleReads: findStaleReads(operations),
     unknown: operations.filter(operation => operation.outcome.kind === 'unknown').length,
     refusals: countReasons(operations),
@@ -89,12 +91,12 @@
   return operations.filter((operation): operation is CounterRead => {
     if (operation.kind !== 'counterRead' || operation.outcome.kind !== 'acknowledged') return false
     const writes = bySession.get(`${operation.database}/${operation.session}`) ?? []
-    const owed = greatestEndedBefore(writes, operation.startedAt)
-    return (operation.value ?? -1) < owed
+    const expected = highestValueEndedBefore(writes, operation.startedAt)
+    return (operation.value ?? -1) < expected
   })
 }
 
-function greatestEndedBefore(writes: readonly CounterWrite[], moment: Milliseconds): number {
+function highestValueEndedBefore(writes: readonly CounterWrite[], moment: Milliseconds): number {
   return writes
     .filter(write => write.endedAt <= moment)
     .reduce((greatest, write) => Math.max(greatest, write.value), -1)
--- a/packages/bench/src/workload/probePool.ts
+++ b/packages/bench/src/workload/probePool.ts
@@ -2,7 +2,7 @@
 import type { SessionCaller } from './sessionCaller.js'
 
 /** Probes that hang longer than this many intervals leave the proxy without new ones. */
-const LARGEST_POOL = 60
+const MAX_CALLERS = 60
 
 export class ProbePool {
   readonly #make: (index: number) => SessionCaller
@@ -14,15 +14,15 @@
   }
 
   /** Null when too many are under way. */
-  take(): SessionCaller | null {
+  acquire(): SessionCaller | null {
     const idle = this.#idle.pop()
     if (idle !== undefined) return idle
-    if (this.#made >= LARGEST_POOL) return null
+    if (this.#made >= MAX_CALLERS) return null
     this.#made += 1
     return this.#make(this.#made)
   }
 
-  giveBack(caller: SessionCaller): void {
+  release(caller: SessionCaller): void {
     this.#idle.push(caller)
   }
 }
--- a/packages/bench/src/workload/sessionCaller.ts
+++ b/packages/bench/src/workload/sessionCaller.ts
@@ -10,13 +10,13 @@
 import { classifyError } from './classifyAnswer.js'
 import { writeId, type Operation, type OperationBase, type Outcome } from './operation.js'
 
-export interface ProxyPlace {
+export interface ProxyAddress {
   readonly address: string
   readonly port: number
 }
 
 export interface SessionCallerOptions {
-  readonly proxies: readonly ProxyPlace[]
+  readonly proxies: readonly ProxyAddress[]
   readonly database: string
   readonly session: SessionId
   readonly user: string
@@ -62,14 +62,14 @@
     this.#lastEvent += 1
     const id = writeId(`${this.#options.session}#${this.#lastEvent}`)
     const answer = await this.#run(className, INSERT_EVENT, [id, className])
-    return { kind: 'eventWrite', id, ...this.#describe(className, answer) }
+    return { kind: 'eventWrite', id, ...this.#toOperationBase(className, answer) }
   }
 
   async raiseCounter(className: string): Promise<Operation> {
     this.#lastCounter += 1
     const value = this.#lastCounter
     const answer = await this.#run(className, RAISE_COUNTER, [this.#options.session, String(value)])
-    return { kind: 'counterWrite', value, ...this.#describe(className, answer) }
+    return { kind: 'counterWrite', value, ...this.#toOperationBase(className, answer) }
   }
 
   async readCounter(className: string): Promise<Operation> {
@@ -78,7 +78,7 @@
     const value = typeof found === 'string' || typeof found === 'number' ? Number(found) : null
     const role = answer.rows[0]?.platform_role
     const servedBy = role === 'primary' || role === 'replica' ? role : null
-    return { kind: 'counterRead', value, servedBy, ...this.#describe(className, answer) }
+    return { kind: 'counterRead', value, servedBy, ...this.#toOperationBase(className, answer) }
   }
 
   async close(): Promise<void> {
@@ -87,7 +87,7 @@
     await Promise.allSettled(clients.map(client => client.end()))
   }
 
-  #describe(className: string, answer: Answer): OperationBase {
+  #toOperationBase(className: string, answer: Answer): OperationBase {
     const { startedAt, endedAt, outcome } = answer
     const { session, database } = this.#options
     return { session, class: className, database, startedAt, endedAt, outcome }
@@ -95,13 +95,13 @@
 
   async #run(className: string, text: string, values: readonly string[]): Promise<Answer> {
     const startedAt = this.#clock.now()
-    const place = this.#pickProxy()
-    const key = `${place.address}:${place.port}/${className}`
+    const proxy = this.#pickProxy()
+    const key = `${proxy.address}:${proxy.port}/${className}`
     let client: pg.Client
     try {
-      client = this.#clients.get(key) ?? (await this.#connect(key, place, className))
+      client = this.#clients.get(key) ?? (await this.#connect(key, proxy, className))
     } catch (error) {
-      return this.#finish(startedAt, describeConnectError(error))
+      return this.#finish(startedAt, classifyConnectError(error))
     }
     try {
       const result = await client.query<CounterRow>(text, [...values])
@@ -115,18 +115,18 @@
     return { startedAt, endedAt: milliseconds(this.#clock.now()), outcome, rows }
   }
 
-  #pickProxy(): ProxyPlace {
+  #pickProxy(): ProxyAddress {
     const { proxies } = this.#options
-    const place = proxies[Math.floor(this.#random.next() * proxies.length)]
-    if (place === undefined) throw new Error('no proxies to call')
-    return place
+    const proxy = proxies[Math.floor(this.#random.next() * proxies.length)]
+    if (proxy === undefined) throw new Error('no proxies to call')
+    return proxy
   }
 
-  async #connect(key: string, place: ProxyPlace, className: string): Promise<pg.Client> {
+  async #connect(key: string, proxy: ProxyAddress, className: string): Promise<pg.Client> {
     const { database, session, user, connectTimeoutMilliseconds } = this.#options
     const client = new pg.Client({
-      host: place.address,
-      port: place.port,
+      host: proxy.address,
+      port: proxy.port,
       database,
       user,
       options: `-c nutmegcourse.class=${className} -c nutmegcourse.session=${session}`,
@@ -144,7 +144,7 @@
 }
 
 /** No statement was sent on a connection that never stood. */
-function describeConnectError(error: unknown): Outcome {
+function classifyConnectError(error: unknown): Outcome {
   const described = classifyError(error)
   if (described.kind === 'notRun') return described
   return { kind: 'notRun', reason: 'caller_connect_failed', retryAfterMilliseconds: null }
--- a/packages/bench/src/workload/writeSilence.ts
+++ b/packages/bench/src/workload/writeGap.ts
@@ -6,7 +6,7 @@
  * The longest time between two acknowledgements of writes that follow each other, of which the
  * second came after `from`. It does not depend on when exactly the fault struck. Milliseconds.
  */
-export function longestWriteSilence(
+export function longestWriteGap(
   operations: readonly Operation[],
   database: string,
   from: Milliseconds,
