--- a/packages/bench/__tests__/agentFleet.ts
+++ b/packages/bench/__tests__/agentFleet.ts
@@ -1,4 +1,6 @@
-/** Agents as processes over the stand-ins of the platform and one database, as proxies see them. */
+/**
+ * Runs agents as processes with stand-ins of the platform and one database, and subscribes to each.
+ */
 import {
   GROUP_KEY_PREFIX,
   TARGETS_KEY,
@@ -62,7 +64,7 @@
   },
 })
 
-/** An agent and what its proxies last heard from it. */
+/** An agent with the last snapshot that its proxy received. */
 export class SubscribedAgent {
   readonly process: AgentProcess
   readonly #received: { snapshot: RoutingSnapshot | null }
@@ -85,7 +87,7 @@
     return record?.phase.kind === 'stable' ? record.primary : null
   }
 
-  /** Backend servers that the snapshot calls leaving. */
+  /** Backend servers that are leaving according to the snapshot. */
   get leaving(): readonly string[] {
     const servers = this.snapshot?.groups[0]?.backendServers ?? []
     return servers.filter(server => server.state === 'leaving').map(server => server.id)
@@ -138,7 +140,7 @@
     this.#servers[index]?.stop()
   }
 
-  /** Puts a value as an operator would, on top of whatever stands there. */
+  /** Stores a value as an operator would, replacing any current value. */
   async put(key: string, value: unknown): Promise<void> {
     const store = await this.#connect(this.#storePort)
     const current = await this.#request<StoredValue | null>(store, 'store.get', { key })
@@ -155,7 +157,7 @@
     await this.#request(await this.#connect(this.#storePort), 'fault.set', { outage })
   }
 
-  /** The store comes back at the same place from an older copy, which holds these targets alone. */
+  /** Restarts the store at the same port from an older copy, which contains only these targets. */
   async restoreStore(document: VersionedTargets): Promise<void> {
     this.#store.stop()
     this.#store = new StoreServer(storeSettingsSchema.parse({ port: this.#storePort }))
--- a/packages/bench/__tests__/agents.spec.ts
+++ b/packages/bench/__tests__/agents.spec.ts
@@ -17,15 +17,15 @@
     fleet = null
   })
 
-  it('bring an accepted change to every proxy', async () => {
+  it('send an accepted change to every proxy', async () => {
     const running = await start()
     await running.put(TARGETS_KEY, targetsDocument(2, 'second'))
     await waitForChange(running, 'second')
   })
 
-  // The store stops answering. A host is replaced meanwhile and keeps nothing. Its proxies need the
-  // targets and the primary, which now only the other agents can tell.
-  it('hand targets and group records to a host that begins during an outage of the store', async () => {
+  // A host is replaced while the store is unavailable and keeps no state. Its agent can get the
+  // targets and the primary only from other agents.
+  it('send targets and group records to a host that starts during a store outage', async () => {
     const running = await start()
     await running.setStoreOutage(true)
     const replaced = await running.addAgent()
@@ -35,9 +35,9 @@
     await waitForChange(running, 'second')
   })
 
-  // The store's host dies and its copy of yesterday takes over. Operators would find the fleet back
-  // at targets that they had replaced.
-  it('keep the newest targets when the store comes back with older ones, and mend the store', async () => {
+  // The store is restored from an older copy. The fleet must not go back to targets that operators
+  // have replaced.
+  it('keep the newest targets when the store returns with older ones, and update the store', async () => {
     const running = await start()
     await running.put(TARGETS_KEY, targetsDocument(2, 'second'))
     await waitForChange(running, 'second')
@@ -49,8 +49,9 @@
     expect(running.agents.map(agent => agent.changeId)).toEqual(['second', 'second', 'second'])
   })
 
-  // The primary dies while the store is out. Callers wait for somebody to lead.
-  it('agree on a new primary during an outage of the store', async () => {
+  // The primary is killed while the store is unavailable, so the agents must agree without the
+  // store.
+  it('agree on a new primary during a store outage', async () => {
     const running = await start()
     await running.setStoreOutage(true)
     running.killServer(0)
@@ -60,9 +61,9 @@
     })
   })
 
-  // An agent is frozen while the primary changes; its proxies go on with what they last heard. When
-  // it wakes it must not bring its old word back, and must learn the new one.
-  it('go on without a frozen agent, which catches up when it is thawed', async () => {
+  // An agent is frozen while the primary changes; its proxies keep using their last snapshot. When
+  // it resumes, it must not spread its outdated group record and must learn the new one.
+  it('work without a frozen agent, which catches up when it is resumed', async () => {
     const running = await start()
     running.agent(2).process.signal('SIGSTOP')
     running.killServer(0)
--- a/packages/bench/__tests__/deployment.spec.ts
+++ b/packages/bench/__tests__/deployment.spec.ts
@@ -37,7 +37,7 @@
     expect(await deployment.interRegionBytes()).toBeGreaterThan(0)
   })
 
-  it('stops replication over a cut and resumes after it', async () => {
+  it('stops replication while a zone is isolated and resumes it afterwards', async () => {
     const [primary, , replica] = deployment.database(0).servers
     if (primary === undefined || replica === undefined) throw new Error('a server is missing')
     await deployment.isolate(replica.zone)
@@ -50,7 +50,7 @@
     })
   })
 
-  it('reads the contents of the greatest log, also after a kill', async () => {
+  it('reads the contents of the server with the highest log position, also after a server was killed', async () => {
     const database = deployment.database(0)
     const [primary, other] = database.servers
     if (primary === undefined || other === undefined) throw new Error('a server is missing')
@@ -64,7 +64,7 @@
     expect(contents.position).toEqual(expect.subset({ term: term(2) }))
   })
 
-  it('keeps the first group records and targets in the store', async () => {
+  it('stores the initial group records and targets', async () => {
     const record = await deployment.platform.groupRecord(deployment.database(0).id)
     expect(record.primary).toEqual(deployment.database(0).servers[0]?.id ?? null)
     const { storePort } = deployment.platform
--- a/packages/bench/__tests__/eventually.ts
+++ b/packages/bench/__tests__/eventually.ts
@@ -1,4 +1,4 @@
-/** Repeats a check until it holds; its last error when it does not in time. */
+/** Repeats a check until it succeeds. Throws its last error after the timeout. */
 export async function eventually(
   check: () => Promise<void>,
   timeoutMilliseconds = 10_000,
--- a/packages/bench/__tests__/failures/partition.spec.ts
+++ b/packages/bench/__tests__/failures/partition.spec.ts
@@ -10,7 +10,7 @@
 
 const CASA = availabilityZoneId('casa-est')
 const TANGER = [availabilityZoneId('tanger-nord'), availabilityZoneId('tanger-sud')]
-/** Longer than every deadline of the classes in use. */
+/** Longer than the deadlines of all classes in use. */
 const LONG_FAULT_MILLISECONDS = 3000
 const RESETS = 8
 const RESET_INTERVAL_MILLISECONDS = 300
@@ -20,13 +20,14 @@
 const scenarios: readonly NamedScenario[] = [
   {
     /**
-     * Callers at the far region's proxy are refused writes, or wait; all others see nothing. The
-     * regions lose each other: the primary keeps a majority in its own region and must not change.
+     * The regions are cut off from each other. The primary still has a majority in its region and
+     * must not change. Writes through the far region's proxy are refused or wait; other callers are
+     * not affected.
      */
-    name: 'the regions lose each other for a while',
+    name: 'the regions are cut off from each other for a while',
     act: async fixture => {
       await fixture.deployment.cut(TANGER, [CASA])
-      await fixture.writesSucceed()
+      await fixture.waitForWrites()
       await wait(LONG_FAULT_MILLISECONDS)
       const record = await fixture.deployment.platform.groupRecord(fixture.database.id)
       expect(record.primary).toEqual(fixture.primary.id)
@@ -35,13 +36,13 @@
   },
   {
     /**
-     * Callers see nothing. The store is silent for long: what is in force goes on.
+     * A long store outage alone must not affect callers: the current state stays in use.
      */
-    name: 'the store is out for long and nothing else fails',
+    name: 'the store is unavailable for long and nothing else fails',
     act: async fixture => {
       await fixture.deployment.platform.setStoreFaults({ outage: true })
       await wait(LONG_FAULT_MILLISECONDS)
-      await fixture.writesSucceed()
+      await fixture.waitForWrites()
       await fixture.deployment.platform.setStoreFaults({ outage: false })
     },
     check: result => {
@@ -50,8 +51,8 @@
   },
   {
     /**
-     * Callers' writes are refused or end unknown, none succeeds. Both replicas stop taking the log:
-     * the primary alone holds each write, and alone it must not vouch for one.
+     * Both replicas stop replicating, so only the primary has new writes and none of them may be
+     * acknowledged. Callers get refusals or unknown outcomes.
      */
     name: 'both replicas stop replicating, then catch up',
     act: async fixture => {
@@ -66,10 +67,10 @@
   },
   {
     /**
-     * Callers far from the primary are left in doubt. Connections between the regions break time and
-     * again, with answers of writes that ran on their way: none of those may be sent once more.
+     * Connections between the regions are reset repeatedly while answers to writes are in transit.
+     * These writes may have run and must not be retried; callers get unknown outcomes.
      */
-    name: 'connections between the regions break with answers on their way',
+    name: 'connections between the regions are reset with answers in transit',
     act: async fixture => {
       for (let turn = 0; turn < RESETS; turn += 1) {
         await fixture.deployment.resetConnections(TANGER, [CASA])
@@ -82,15 +83,16 @@
   },
   {
     /**
-     * A session writes at one proxy and reads at another while the replicas are late. Its read must
-     * wait for a replica that has the write, or go where the write is; never miss it.
+     * A session writes through one proxy and reads through another while the replicas lag. The read
+     * must wait for a replica that has the write, or go to a server that has it; it must not miss
+     * the write.
      */
-    name: 'the replicas lag behind and sessions roam',
+    name: 'the replicas lag and sessions move between proxies',
     act: async fixture => {
       await setReplicationLag(fixture.server(1), NEAR_LAG_MILLISECONDS)
       await setReplicationLag(fixture.server(2), FAR_LAG_MILLISECONDS)
       await wait(2 * LONG_FAULT_MILLISECONDS)
-      await fixture.writesSucceed()
+      await fixture.waitForWrites()
     },
     check: result => {
       expect(result.unknown).toEqual(0)
@@ -98,32 +100,32 @@
   },
   {
     /**
-     * Callers see an ordinary failover. The agent that would coordinate is paused when the primary
-     * dies; others take over, and when it goes on its steps must find themselves outdated.
+     * The agent that would coordinate the failover is paused when the primary is killed, and others
+     * take over. When it resumes, its own steps must fail as outdated.
      */
     name: 'the primary is killed while the first agent is frozen',
     act: async fixture => {
       const agent = agentProcessId(fixture.deployment.entryHost(0))
       fixture.deployment.freeze(agent)
       await fixture.deployment.kill(fixture.primary.id)
-      await fixture.anotherServerIsPrimary(fixture.primary)
-      await fixture.writesSucceed()
+      await fixture.waitForNewPrimary(fixture.primary)
+      await fixture.waitForWrites()
       fixture.deployment.thaw(agent)
       await fixture.deployment.process(fixture.primary.id).start()
-      await fixture.writesSucceed()
+      await fixture.waitForWrites()
     },
   },
   {
     /**
-     * Callers see nothing. Every agent dies: proxies go on with the last snapshot they had.
+     * All agents are killed. Proxies keep using their last snapshot, and callers are not affected.
      */
-    name: 'every agent dies and comes back',
+    name: 'every agent is killed and restarted',
     act: async fixture => {
       const agents = fixture.deployment.plan.entryHosts.map(agentProcessId)
       await Promise.all(agents.map(agent => fixture.deployment.kill(agent)))
-      await fixture.writesSucceed()
+      await fixture.waitForWrites()
       await Promise.all(agents.map(agent => fixture.deployment.process(agent).start()))
-      await fixture.writesSucceed()
+      await fixture.waitForWrites()
     },
     check: result => {
       expect(result.unknown).toEqual(0)
@@ -132,23 +134,23 @@
   },
   {
     /**
-     * Callers see two interruptions at once. The primary's zone is cut off while the store is out:
-     * the others must agree without the store, and the isolated primary must not be believed.
+     * The primary's zone is isolated while the store is unavailable. The other zones must agree
+     * without the store, and writes on the isolated primary must not be acknowledged.
      */
-    name: "the primary's zone is isolated while the store is out",
+    name: "the primary's zone is isolated while the store is unavailable",
     act: async fixture => {
       await fixture.deployment.platform.setStoreFaults({ outage: true })
       await fixture.deployment.isolate(fixture.primary.zone)
-      await fixture.writesSucceed()
+      await fixture.waitForWrites()
       await fixture.deployment.rejoin(fixture.primary.zone)
       await fixture.deployment.platform.setStoreFaults({ outage: false })
-      await fixture.anotherServerIsPrimary(fixture.primary)
+      await fixture.waitForNewPrimary(fixture.primary)
     },
   },
 ]
 
 describe('partitions and pauses', () => {
   for (const scenario of scenarios) {
-    it(`loses and doubles nothing when ${scenario.name}`, () => runScenario(scenario))
+    it(`loses and duplicates no write when ${scenario.name}`, () => runScenario(scenario))
   }
 })
--- a/packages/bench/__tests__/failures/plannedStop.spec.ts
+++ b/packages/bench/__tests__/failures/plannedStop.spec.ts
@@ -8,21 +8,21 @@
   readonly name: string
 }
 
-/** The time after which a leaving backend server gets nothing new. */
+/** Time after which a leaving backend server must receive no more statements. */
 const LEAVING_MILLISECONDS = 3000
 const OBSERVED_MILLISECONDS = 1500
 const HOST_LIST_LAG_MILLISECONDS = 1000
 
-/** A caller may be told to go elsewhere before its request runs; none may be left in doubt. */
-const cutsNothing = (result: HistoryCheckResult): void => {
+/** A request may be refused before it runs, but no outcome may be unknown. */
+const expectNoUnknownOutcomes = (result: HistoryCheckResult): void => {
   expect(result.unknown).toEqual(0)
 }
 
 const scenarios: readonly NamedScenario[] = [
   {
     /**
-     * Callers of one proxy are sent elsewhere. The proxy is told to stop under load: what runs is
-     * answered, what has not begun is refused as not run.
+     * A proxy is stopped under load. Running requests are answered; requests that have not started
+     * are refused as not run.
      */
     name: 'a proxy is stopped under load',
     act: async fixture => {
@@ -30,13 +30,13 @@
         proxyProcessId(fixture.deployment.entryHost(0)),
       )
       expect(exitCode).toEqual(0)
-      await fixture.writesSucceed()
+      await fixture.waitForWrites()
     },
-    check: cutsNothing,
+    check: expectNoUnknownOutcomes,
   },
   {
     /**
-     * Callers are sent elsewhere time and again. Every entry host is replaced, one after the other.
+     * Every entry host is replaced, one after the other. Callers get repeated refusals as not run.
      */
     name: 'every entry host is replaced in turn',
     act: async fixture => {
@@ -46,14 +46,14 @@
         await deployment.stopGracefully(agentProcessId(host))
         await deployment.process(agentProcessId(host)).start()
         await deployment.process(proxyProcessId(host)).start()
-        await fixture.writesSucceed()
+        await fixture.waitForWrites()
       }
     },
-    check: cutsNothing,
+    check: expectNoUnknownOutcomes,
   },
   {
     /**
-     * Callers see nothing. A replica is leaving, and the list tells it late: reads go elsewhere.
+     * A replica is leaving, and the host list reports it with a delay. Reads move to other servers.
      */
     name: 'a replica is leaving',
     options: { hostListLagMilliseconds: HOST_LIST_LAG_MILLISECONDS },
@@ -64,12 +64,12 @@
       await wait(LEAVING_MILLISECONDS)
       expect(await fixture.statementsDuring(leaving, OBSERVED_MILLISECONDS)).toEqual(0)
     },
-    check: cutsNothing,
+    check: expectNoUnknownOutcomes,
   },
   {
     /**
-     * Callers wait a moment. The primary is leaving: writes are held, a replica that has caught up
-     * is promoted, and the old one gets nothing more.
+     * The primary is leaving. Writes are held until a replica that has caught up is promoted, and
+     * the former primary receives no more statements.
      */
     name: 'the primary is leaving',
     options: { hostListLagMilliseconds: HOST_LIST_LAG_MILLISECONDS },
@@ -77,9 +77,9 @@
       await fixture.deployment.platform.markLeaving(fixture.primary.id)
       await wait(LEAVING_MILLISECONDS)
       expect(await fixture.statementsDuring(fixture.primary, OBSERVED_MILLISECONDS)).toEqual(0)
-      await fixture.anotherServerIsPrimary(fixture.primary)
+      await fixture.waitForNewPrimary(fixture.primary)
     },
-    check: cutsNothing,
+    check: expectNoUnknownOutcomes,
   },
 ]
 
--- a/packages/bench/__tests__/failures/scenario.ts
+++ b/packages/bench/__tests__/failures/scenario.ts
@@ -1,4 +1,6 @@
-/** Runs a story of failures against a whole deployment under load, and judges what callers saw. */
+/**
+ * Runs failure scenarios against a whole deployment under load and checks the answers to callers.
+ */
 import { setTimeout as delay } from 'node:timers/promises'
 import { expect } from 'earl'
 import { POSITION_STATEMENT } from '@nutmegcourse/protocol'
@@ -50,7 +52,7 @@
     return this.deployment.database(0)
   }
 
-  /** The server that leads in the beginning. */
+  /** The initial primary. */
   get primary(): PlannedServer {
     return this.server(0)
   }
@@ -61,7 +63,7 @@
     return found
   }
 
-  /** Reads and writes that one server runs within `span` milliseconds under load. */
+  /** Number of reads and writes that a server runs within `span` milliseconds under load. */
   async statementsDuring(server: PlannedServer, span: number): Promise<number> {
     const before = await countStatements(server)
     await delay(span)
@@ -77,8 +79,8 @@
     ).length
   }
 
-  /** Waits until writes that start from now on succeed. */
-  async writesSucceed(count = 30): Promise<void> {
+  /** Waits until `count` writes that start from now on have succeeded. */
+  async waitForWrites(count = 30): Promise<void> {
     const now = this.load.now()
     await eventually(async () => {
       await Promise.resolve()
@@ -86,8 +88,8 @@
     }, RECOVERY_MILLISECONDS)
   }
 
-  /** Waits until another server than `former` leads, by the store's record. */
-  async anotherServerIsPrimary(former: PlannedServer): Promise<void> {
+  /** Waits until the group record in the store has a primary other than `former`. */
+  async waitForNewPrimary(former: PlannedServer): Promise<void> {
     await eventually(async () => {
       const record = await this.deployment.platform.groupRecord(this.database.id)
       expect(record.phase.kind).toEqual('stable')
@@ -95,16 +97,16 @@
     }, RECOVERY_MILLISECONDS)
   }
 
-  /** Waits until every server follows or leads in the newest term, while writes go on. */
-  async serversShareTerm(): Promise<void> {
+  /** Waits until all servers are in the same term while writes continue. */
+  async waitForSameTerm(): Promise<void> {
     await eventually(async () => {
       const rows = await this.#positions()
       expect(new Set(rows.map(row => row[1])).size).toEqual(1)
     }, RECOVERY_MILLISECONDS)
   }
 
-  /** Waits until all servers hold the same log: whoever was left behind follows again. */
-  async serversAgree(): Promise<void> {
+  /** Waits until all servers have the same log, including those that had fallen behind. */
+  async waitForEqualLogs(): Promise<void> {
     await eventually(async () => {
       const rows = await this.#positions()
       const positions = rows.map(row => `${row[1] ?? ''}/${row[2] ?? ''}`)
@@ -122,15 +124,15 @@
 
 export interface Scenario {
   readonly options?: Partial<DeploymentOptions>
-  /** What fails. Returns once what failed is over or healed. */
+  /** Injects the failures. Resolves once they are over or healed. */
   readonly act: (fixture: ScenarioFixture) => Promise<void>
-  /** Beyond what always holds. */
+  /** Checks in addition to those of every scenario. */
   readonly check?: (result: HistoryCheckResult, fixture: ScenarioFixture) => void
-  /** Whether all servers must hold the same log in the end. */
-  readonly serversAgree?: boolean
+  /** Whether all servers must have the same log in the end. Default: true. */
+  readonly requiresEqualLogs?: boolean
 }
 
-/** Everything that the fleet owes its callers, whatever failed. */
+/** Runs a scenario and checks the guarantees that hold for callers whatever fails. */
 export async function runScenario(scenario: Scenario): Promise<void> {
   const deployment = await Deployment.start({ ...OPTIONS, ...scenario.options })
   try {
@@ -144,12 +146,12 @@
 
 async function runUnderLoad(scenario: Scenario, fixture: ScenarioFixture): Promise<void> {
   const { deployment, load, database } = fixture
-  await fixture.writesSucceed(WARM_UP_ACKNOWLEDGEMENTS)
+  await fixture.waitForWrites(WARM_UP_ACKNOWLEDGEMENTS)
   const start = load.now()
   await scenario.act(fixture)
-  await fixture.writesSucceed()
+  await fixture.waitForWrites()
   const operations = await load.stop()
-  if (scenario.serversAgree ?? true) await fixture.serversAgree()
+  if (scenario.requiresEqualLogs ?? true) await fixture.waitForEqualLogs()
   const result = checkHistory(operations, await readFinalContents(deployment))
   report(fixture, result, longestWriteGap(operations, database.id, start))
   const { lost, doubled, ranThoughRefused, staleReads } = result
@@ -165,7 +167,7 @@
   scenario.check?.(result, fixture)
 }
 
-/** A proxy listens before it has the targets; what it refuses until then is no part of a story. */
+/** Proxies listen before they have the targets; refusals until then are not part of a scenario. */
 async function waitUntilProxiesServe(deployment: Deployment): Promise<void> {
   for (const { proxyPort } of deployment.plan.entryHosts) {
     const caller = new SessionCaller(
@@ -186,7 +188,7 @@
   }
 }
 
-/** Figures are told, not asserted: they depend on the machine. */
+/** These figures are printed, not asserted, because they depend on the machine. */
 function report(fixture: ScenarioFixture, result: HistoryCheckResult, silence: number): void {
   const { acknowledged, unknown, refusals } = result
   const figures = {
--- a/packages/bench/__tests__/failures/transactions.spec.ts
+++ b/packages/bench/__tests__/failures/transactions.spec.ts
@@ -7,7 +7,7 @@
 const CLASS = 'scheduling_write'
 const insert = (id: string): string => `INSERT INTO events (id, value) VALUES ('${id}', '1')`
 
-describe('transactions when a process dies', () => {
+describe('transactions when a process is killed', () => {
   let deployment: Deployment
   const clients: pg.Client[] = []
   before(async () => {
@@ -37,7 +37,7 @@
     await client.connect()
     return client
   }
-  const writable = async (entryHost: number): Promise<pg.Client> => {
+  const connectWritable = async (entryHost: number): Promise<pg.Client> => {
     const client = await connect(entryHost)
     await eventually(async () => {
       await client.query(insert('warm up'))
@@ -50,11 +50,12 @@
   }
 
   /**
-   * A foreman's two assignments belong together; the proxy dies between them. Neither may stay, the
-   * connection that carried them must serve nobody else, and other proxies' callers see nothing.
+   * The proxy is killed between two statements of a transaction. Nothing of it may be kept, its
+   * backend connection must not serve other callers, and callers of other proxies must not be
+   * affected.
    */
-  it('keeps nothing of a transaction whose proxy died in its middle', async () => {
-    const [dying, other] = [await writable(0), await writable(1)]
+  it('keeps nothing of a transaction whose proxy was killed before the commit', async () => {
+    const [dying, other] = [await connectWritable(0), await connectWritable(1)]
     await dying.query('BEGIN')
     await dying.query(insert('first half'))
     await deployment.kill(proxyProcessId(deployment.entryHost(0)))
@@ -63,17 +64,17 @@
     await other.query(insert('whole two'))
     await other.query('COMMIT')
     await deployment.process(proxyProcessId(deployment.entryHost(0))).start()
-    await writable(0)
+    await connectWritable(0)
     const stored = await storedIds()
     expect(stored.has('first half')).toEqual(false)
     expect([stored.has('whole one'), stored.has('whole two')]).toEqual([true, true])
   })
 
   /**
-   * Callers leave in the middle of their transactions, time and again, more often than there are
-   * connections. Nothing of theirs may appear, nor be committed by whoever gets the connection next.
+   * More callers than there are backend connections disconnect within a transaction. None of their
+   * writes may be kept, nor be committed by the next caller on the same backend connection.
    */
-  it('keeps nothing of transactions whose callers left, however many', async () => {
+  it('keeps nothing of the transactions of many callers that disconnected', async () => {
     const departures = 30
     for (let index = 0; index < departures; index += 1) {
       const leaving = await connect(1)
@@ -81,7 +82,7 @@
       await leaving.query(insert(`abandoned ${index}`))
       leaving.connection.stream.destroy()
     }
-    const staying = await writable(1)
+    const staying = await connectWritable(1)
     await staying.query(insert('after the departures'))
     const stored = [...(await storedIds())]
     expect(stored.filter(id => id.startsWith('abandoned'))).toEqual([])
@@ -89,11 +90,11 @@
   })
 
   /**
-   * A caller's transaction is open when its primary dies. Its COMMIT must not be told as done unless
-   * all of it is kept; what follows on the same connection runs on the new primary.
+   * A transaction is open when the primary is killed. Its COMMIT must not be acknowledged unless
+   * all of the transaction is kept. Later statements on the same connection run on the new primary.
    */
-  it('tells a transaction as lost when its primary dies before the commit', async () => {
-    const client = await writable(2)
+  it('reports a transaction as lost when its primary is killed before the commit', async () => {
+    const client = await connectWritable(2)
     await client.query('BEGIN')
     await client.query(insert('lost one'))
     const record = await deployment.platform.groupRecord(deployment.database(0).id)
--- a/packages/bench/__tests__/failures/wholeAnswers.spec.ts
+++ b/packages/bench/__tests__/failures/wholeAnswers.spec.ts
@@ -19,7 +19,7 @@
   readonly wrong: string[]
 }
 
-describe('whole answers', () => {
+describe('complete answers', () => {
   let deployment: Deployment
   const clients = new Set<pg.Client>()
   before(async () => {
@@ -53,7 +53,10 @@
     return client
   }
 
-  /** Asks for its own name, or for as many rows as it picked, in each way that a client can ask. */
+  /**
+   * Queries the caller's marker with a prepared and a simple query, and the given number of rows.
+   * Returns a description of a wrong answer, or null.
+   */
   const ask = async (
     client: pg.Client,
     marker: string,
@@ -93,10 +96,11 @@
   }
 
   /**
-   * A caller reads what another asked for, or half of its own answer. Many callers share few backend
-   * connections; these break, and a replica dies, while answers are on their way.
+   * Guards against callers that receive another caller's answer or an incomplete one. Many callers
+   * share few backend connections, which are reset, and a replica is restarted, while answers are
+   * in transit.
    */
-  it('gives each caller the whole answer to its own request, or an error', async () => {
+  it('gives each caller the complete answer to its own request, or an error', async () => {
     const tally: Tally = { whole: 0, refused: 0, wrong: [] }
     const callers = Array.from({ length: CALLERS }, (_, at) => run(at, tally))
     const [, replica] = deployment.database(0).servers
--- a/packages/bench/__tests__/history.spec.ts
+++ b/packages/bench/__tests__/history.spec.ts
@@ -44,7 +44,7 @@
     ],
   ])
 
-describe('judge', () => {
+describe('checkHistory', () => {
   const clean = { lost: 0, doubled: 0, ranThoughRefused: 0, stale: 0 }
   const cases: {
     name: string
@@ -53,7 +53,7 @@
     found: typeof clean
   }[] = [
     {
-      name: 'an honest run',
+      name: 'no violation in a correct run',
       operations: [event('a', ACKNOWLEDGED)],
       end: finals(['a']),
       found: clean,
@@ -65,19 +65,19 @@
       found: { ...clean, lost: 1 },
     },
     {
-      name: 'a doubled event, also one of unknown outcome',
+      name: 'a duplicated event, even one of unknown outcome',
       operations: [event('a', UNKNOWN)],
       end: finals(['a', 'a']),
       found: { ...clean, doubled: 1 },
     },
     {
-      name: 'an event that ran though refused as not run',
+      name: 'an event that ran although it was refused as not run',
       operations: [event('a', NOT_RUN)],
       end: finals(['a']),
       found: { ...clean, ranThoughRefused: 1 },
     },
     {
-      name: 'an unknown outcome either way',
+      name: 'no violation in unknown outcomes, stored or not',
       operations: [event('a', UNKNOWN), event('b', UNKNOWN)],
       end: finals(['a']),
       found: clean,
@@ -95,14 +95,14 @@
       found: { ...clean, stale: 1 },
     },
     {
-      name: 'a read that overlaps the write',
+      name: 'no violation in a stale read that overlaps the write',
       operations: [raise(2, 0, 5), read(1, 2, 6)],
       end: finals([], 2),
       found: clean,
     },
   ]
   for (const { name, operations, end, found } of cases) {
-    it(`sees ${name}`, () => {
+    it(`finds ${name}`, () => {
       const result = checkHistory(operations, end)
       expect({
         lost: result.lost.length,
@@ -114,10 +114,10 @@
   }
 })
 
-describe('longestWriteSilence', () => {
-  // The primary dies at 100. An answer that was on its way arrives at 105; the next acknowledged
-  // write ends at 700. The time without success is from 105 to 700.
-  it('is not fooled by an answer that was on its way', () => {
+describe('longestWriteGap', () => {
+  // The primary fails at 100. An answer in transit arrives at 105, and the next acknowledged write
+  // ends at 700, so the gap lasts from 105 to 700.
+  it('starts the gap at an answer that was still in transit when the primary failed', () => {
     const operations = [
       event('a', ACKNOWLEDGED, 0, 90),
       event('b', ACKNOWLEDGED, 0, 105),
@@ -129,7 +129,7 @@
     expect(gap).toEqual(595)
   })
 
-  it('knows no silence without two acknowledgements', () => {
+  it('is 0 with fewer than two acknowledgements', () => {
     const operations = [event('a', ACKNOWLEDGED, 0, 90)]
     const gap = longestWriteGap(operations, 'salon-1', milliseconds(0))
     expect(gap).toEqual(0)
--- a/packages/bench/__tests__/operators.spec.ts
+++ b/packages/bench/__tests__/operators.spec.ts
@@ -27,8 +27,8 @@
   - class: scheduling_write
 `
 
-// Operators change targets with the shipped program against a running fleet, see them in force at
-// every entry host, and read back why work goes where it goes.
+// Runs nutmegcoursectl as operators do: changes targets of a running fleet, checks that every entry
+// host applies them, and queries explanations of routing decisions.
 describe('nutmegcoursectl against a running fleet', () => {
   const directory = mkdtempSync(join(tmpdir(), 'nutmegcourse-ctl-'))
   const settingsFile = join(directory, 'ctl.yaml')
@@ -65,7 +65,7 @@
       child.stdin?.end(input)
     })
 
-  const readAs = async (port: number, className: string): Promise<unknown> => {
+  const readWithClass = async (port: number, className: string): Promise<unknown> => {
     const client = new pg.Client({
       host: LOOPBACK,
       port,
@@ -82,17 +82,17 @@
     }
   }
 
-  it('puts a new class in force at every entry host', async () => {
+  it('applies a new class at every entry host', async () => {
     const applied = await run(['apply', '-'], targetsWith('berth_lookup'))
     expect(applied.code).toEqual(0)
     for (const host of deployment.plan.entryHosts) {
       await eventually(async () => {
-        expect(await readAs(host.proxyPort, 'berth_lookup')).toEqual(1)
+        expect(await readWithClass(host.proxyPort, 'berth_lookup')).toEqual(1)
       }, APPLY_TIMEOUT_MILLISECONDS)
     }
   })
 
-  it('refuses a document with mistakes and leaves what is in force', async () => {
+  it('refuses an invalid document and keeps the current targets', async () => {
     const before = (await run(['get', '--json'])).output
     const refused = await run(['apply', '-'], `${targetsWith('x')}weights: {}\n`)
     expect([refused.code, refused.errorOutput.includes('weights can not be set')]).toEqual([
@@ -102,7 +102,7 @@
     expect((await run(['get', '--json'])).output).toEqual(before)
   })
 
-  it('tells the loser of a race by its exit status', async () => {
+  it('exits with status 4 if another change was applied first', async () => {
     const { version } = JSON.parse((await run(['get', '--json'])).output) as { version: number }
     const expecting = (wanted: number): readonly string[] => [
       'apply',
@@ -121,7 +121,7 @@
     expect(explained.output.includes('writes go to the primary')).toEqual(true)
   })
 
-  it('moves a primary that is drained, and tells the steps', async () => {
+  it('moves the primary off a drained server and reports the steps', async () => {
     const database = deployment.database(0)
     const former = (await deployment.platform.groupRecord(database.id)).primary ?? ''
     expect((await run(['drain', former])).code).toEqual(0)
--- a/packages/bench/src/demo.ts
+++ b/packages/bench/src/demo.ts
@@ -1,4 +1,7 @@
-/** One deployment in small: load, a killed primary, its restart, a planned move, and the judgement. */
+/**
+ * Runs a small deployment under load through a killed primary, its restart and a planned move, and
+ * checks the answers that callers received.
+ */
 import { setTimeout as pause } from 'node:timers/promises'
 import type { Targets } from '@nutmegcourse/protocol'
 import { SystemClock, type Milliseconds } from '@nutmegcourse/shared'
@@ -12,11 +15,11 @@
 
 const SESSIONS_PER_DATABASE = 10
 const THINK_MILLISECONDS = 20
-/** Parts of the run, as shares of its length. */
+/** Times of the faults, as shares of the length of the run. */
 const KILL_AT_SHARE = 0.3
 const RESTART_AT_SHARE = 0.5
 const MOVE_AT_SHARE = 0.7
-/** How long around an event the longest gap is looked for. */
+/** The longest gap is searched for within this time after an event. */
 const GAP_WINDOW_MILLISECONDS = 5000
 const SERVICE_MILLISECONDS = 1
 
@@ -71,7 +74,7 @@
   }
   return makeReport({
     operations: load.operations,
-    checkResult: checkResult,
+    checkResult,
     targets: shape.targets,
     failoverGap: gapAfter(times.killedAt),
     plannedMoveGap: gapAfter(times.movedAt),
@@ -79,7 +82,7 @@
   })
 }
 
-/** All of it happens to the first database; the others show what their callers notice of it. */
+/** Faults affect only the first database; the others show the effect on unrelated callers. */
 async function runScenario(deployment: Deployment, options: DemoOptions): Promise<FaultTimes> {
   const span = options.seconds * 1000
   const database = deployment.database(0)
@@ -91,21 +94,21 @@
   const killedAt = clock.now()
   await deployment.kill(victim)
   await pause(span * (RESTART_AT_SHARE - KILL_AT_SHARE))
-  log(`${await currentPrimary()} leads now; restarting ${victim}`)
+  log(`${await currentPrimary()} is now the primary; restarting ${victim}`)
   await deployment.restart(victim)
   await pause(span * (MOVE_AT_SHARE - RESTART_AT_SHARE))
   const moved = await currentPrimary()
-  log(`moving the primary away from ${moved} by plan`)
+  log(`starting a planned move of the primary away from ${moved}`)
   const movedAt = clock.now()
   await deployment.platform.markLeaving(moved)
   await pause(span * (1 - MOVE_AT_SHARE))
-  log(`${await currentPrimary()} leads now`)
+  log(`${await currentPrimary()} is now the primary`)
   return { killedAt, movedAt }
 }
 
 function classWithAccess(access: 'read' | 'write', targets: Targets): string {
   const found = targets.classes.find(entry => entry.access === access)
-  if (found === undefined) throw new Error(`no class that may ${access}`)
+  if (found === undefined) throw new Error(`no class with ${access} access in the targets`)
   return found.name
 }
 
--- a/packages/bench/src/demo/demoOptions.ts
+++ b/packages/bench/src/demo/demoOptions.ts
@@ -1,4 +1,4 @@
-/** The demo's command line. */
+/** Command line options of the demo. */
 import { parseArgs } from 'node:util'
 
 export interface DemoOptions {
@@ -11,14 +11,14 @@
 const USAGE = `Usage: ./scripts/demo [--deployment atlas-quai|shutterbaithak] [--seconds N] [--seed N]
                       [--entry-hosts N]
 
-Runs one deployment in small on this machine, kills a primary, restarts it, moves it by plan, and
-compares what callers were told with what the databases hold. Ends with one JSON object; exits
-with 1 when anything was lost, doubled or stale.
+Runs a small deployment on this machine, kills a primary, restarts it, moves it as planned, and
+compares the answers that callers received with the contents of the databases. The last line is one
+JSON object. The exit code is 1 if any write was lost or ran twice, or any read was stale.
 `
 
 const MIN_SECONDS = 10
 
-/** Prints the usage and ends the process on words that it does not know. */
+/** Prints the usage and exits if the arguments are invalid. */
 export function readDemoOptions(args: readonly string[]): DemoOptions {
   try {
     const { values } = parseArgs({
@@ -34,7 +34,7 @@
     if (values.help) exitWithText(0, USAGE)
     const { deployment } = values
     if (deployment !== 'atlas-quai' && deployment !== 'shutterbaithak') {
-      return exitWithText(2, `no such deployment: ${deployment}\n${USAGE}`)
+      return exitWithText(2, `unknown deployment: ${deployment}\n${USAGE}`)
     }
     return {
       deployment,
--- a/packages/bench/src/demo/demoReport.ts
+++ b/packages/bench/src/demo/demoReport.ts
@@ -1,4 +1,4 @@
-/** What a demo run found, as a table for people and one JSON object for programs. */
+/** The results of a demo run, as a table for people and one JSON object for programs. */
 import { build } from 'hdr-histogram-js'
 import type { Targets } from '@nutmegcourse/protocol'
 import type { HistoryCheckResult } from '../workload/history.js'
@@ -32,7 +32,7 @@
 }
 
 export function makeReport(findings: DemoFindings): DemoReport {
-  const { operations, checkResult: checkResult, targets } = findings
+  const { operations, checkResult, targets } = findings
   const reads = operations.filter(
     (operation): operation is CounterRead =>
       operation.kind === 'counterRead' && operation.servedBy !== null,
@@ -59,7 +59,7 @@
   }
 }
 
-/** Whether every promise held. */
+/** Whether all guarantees held. */
 export const isClean = (report: DemoReport): boolean =>
   report.lost + report.doubled + report.ranThoughRefused + report.readYourWritesViolations === 0
 
@@ -78,7 +78,7 @@
 const NAME_WIDTH = 34
 const row = (name: string, value: string): string => `  ${name.padEnd(NAME_WIDTH)} ${value}`
 
-/** Of requests that got an ordinary answer. */
+/** Latencies of acknowledged requests. */
 function measureLatencies(operations: readonly Operation[]): DemoReport['latencyMilliseconds'] {
   const classes = [...new Set(operations.map(operation => operation.class))].sort()
   return Object.fromEntries(
--- a/packages/bench/src/deployment/adminCall.ts
+++ b/packages/bench/src/deployment/adminCall.ts
@@ -1,11 +1,14 @@
-/** Orders to the stand-ins: faults, cuts, the host list, and single statements on a backend server. */
+/**
+ * Control calls to the stand-ins (faults, cuts, the host list), and single statements on a backend
+ * server.
+ */
 import pg from 'pg'
 import { openJsonRpc } from '@nutmegcourse/transport'
 
 const TIMEOUT_MILLISECONDS = 5000
 const LOOPBACK = '127.0.0.1'
 
-/** One JSON-RPC call on a connection of its own. Throws when it fails. */
+/** Makes one JSON-RPC call on a separate connection. Throws if it fails. */
 export async function adminCall<Answer>(
   port: number,
   method: string,
@@ -19,7 +22,7 @@
   return answer.value
 }
 
-/** One statement straight on a backend server, past the fleet. */
+/** Runs one statement directly on a backend server, bypassing the proxies. */
 export async function askBackendServer(
   port: number,
   statement: string,
--- a/packages/bench/src/deployment/deployment.ts
+++ b/packages/bench/src/deployment/deployment.ts
@@ -1,4 +1,4 @@
-/** A whole deployment as processes on this machine: platform, databases, agents and proxies. */
+/** Runs a whole deployment as local processes: platform, databases, agents and proxies. */
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -25,21 +25,21 @@
   readonly shape: DeploymentShape['name']
   readonly databases: number
   readonly entryHosts: number
-  /** Puts the relay between zones: delays, cuts and byte counts. */
+  /** Routes traffic between zones through the relay, which adds delays, cuts and byte counts. */
   readonly network: boolean
-  /** Starts agents and proxies too. */
+  /** Also starts agents and proxies. */
   readonly fleet: boolean
-  /** Time that a statement holds a slot of a backend server. */
+  /** How long a statement occupies a slot of a backend server. */
   readonly serviceMilliseconds?: number
   readonly hostListLagMilliseconds?: number
-  /** Settings of every agent or proxy beyond those that the plan gives. */
+  /** Additional settings of every agent or proxy, merged over those from the plan. */
   readonly agentSettings?: Readonly<Record<string, unknown>>
   readonly proxySettings?: Readonly<Record<string, unknown>>
 }
 
 const HOST_LIST = 'host-list'
 
-/** The built file of a package of this workspace, beside its public face. */
+/** Path of a built file of a workspace package, next to the package's entry point. */
 function programPath(packageName: string, file: string): string {
   return fileURLToPath(new URL(file, import.meta.resolve(`@nutmegcourse/${packageName}`)))
 }
@@ -47,7 +47,7 @@
 export class Deployment {
   readonly plan: DeploymentPlan
   readonly #options: DeploymentOptions
-  /** Settings, data and logs of the processes; removed by `stop`. */
+  /** Holds settings, data and logs of the processes; removed by `stop`. */
   readonly directory = mkdtempSync(join(tmpdir(), 'nutmegcourse-'))
   readonly #processes = new Map<string, ManagedProcess>()
   #network = new Network(null)
@@ -59,7 +59,7 @@
     process.once('exit', this.#killAll)
   }
 
-  /** Starts everything and returns when every process says that it is ready. */
+  /** Starts everything and resolves once every process has reported that it is ready. */
   static async start(options: DeploymentOptions): Promise<Deployment> {
     const plan = await planDeployment(SHAPES[options.shape], options.databases, options.entryHosts)
     const deployment = new Deployment(options, plan)
@@ -77,7 +77,7 @@
   }
 
   get platform(): Platform {
-    if (this.#platform === null) throw new Error('the platform does not run yet')
+    if (this.#platform === null) throw new Error('the platform has not been started yet')
     return this.#platform
   }
 
@@ -103,7 +103,7 @@
     await this.process(id).end('SIGKILL')
   }
 
-  /** SIGTERM, and the exit code. */
+  /** Sends SIGTERM and resolves with the exit code. */
   async stopGracefully(id: string): Promise<number | null> {
     return this.process(id).end('SIGTERM')
   }
@@ -132,7 +132,7 @@
     await this.#network.setCut(from, to, false)
   }
 
-  /** Breaks connections between zones; requests and answers on their way are lost. */
+  /** Resets connections between zones; requests and answers in transit are lost. */
   async resetConnections(
     from: readonly AvailabilityZoneId[],
     to: readonly AvailabilityZoneId[],
@@ -140,7 +140,7 @@
     await this.#network.reset(from, to)
   }
 
-  /** Cuts a zone off from all others and from the platform. */
+  /** Isolates a zone from all other zones and from the platform. */
   async isolate(zone: AvailabilityZoneId): Promise<void> {
     await this.cut([zone], this.#othersThan(zone))
   }
@@ -245,7 +245,10 @@
     })
   }
 
-  /** Another zone may tell this server of a peer by a port that only that zone's network has. */
+  /**
+   * Maps the ports under which other zones know a peer to the one that works in this server's zone,
+   * because a server may be given a peer's address as seen from another zone.
+   */
   #routesOf(server: PlannedServer): readonly { fromPort: number; toPort: number }[] {
     const peers = this.plan.databases
       .filter(database => database.id === server.database)
@@ -260,7 +263,7 @@
     })
   }
 
-  /** How each zone reaches each listed host. */
+  /** The address of each listed host as seen from each zone. */
   #routes(): readonly ZoneRoute[] {
     const servers = this.plan.databases.flatMap(database => database.servers)
     const hostIds = [...servers, ...this.plan.entryHosts].map(host => host.id)
--- a/packages/bench/src/deployment/managedProcess.ts
+++ b/packages/bench/src/deployment/managedProcess.ts
@@ -1,4 +1,7 @@
-/** A child process of a deployment: started with a settings file, ready when it says so. */
+/**
+ * A child process of a deployment. It is started with a settings file and is ready once it prints
+ * its ready line.
+ */
 import { spawn, type ChildProcess } from 'node:child_process'
 import { openSync, closeSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
@@ -8,13 +11,13 @@
 const READY_TIMEOUT_MILLISECONDS = 15_000
 
 export interface ProcessPlan {
-  /** Names the process within its deployment. */
+  /** Identifies the process within its deployment. */
   readonly id: string
   readonly program: string
   readonly settings: Readonly<Record<string, unknown>>
 }
 
-/** The line that a process prints when it listens. */
+/** The JSON line that a process prints once it is listening. */
 export type ReadyLine = Readonly<Record<string, unknown>>
 
 export class ManagedProcess {
@@ -35,12 +38,12 @@
     return this.#child !== null && this.#child.exitCode === null && this.#child.signalCode === null
   }
 
-  /** The operating system's id; null while it does not run. */
+  /** The operating system's process id; null while the process is not running. */
   get processId(): number | null {
     return this.running ? (this.#child?.pid ?? null) : null
   }
 
-  /** What the process wrote to standard error, this life and earlier ones. */
+  /** Standard error of the process, including that of its earlier incarnations. */
   get logFile(): string {
     return join(this.#directory, `${this.id}.log`)
   }
@@ -56,11 +59,11 @@
     this.#child = child
     return new Promise((resolve, reject) => {
       const timer = setTimeout(() => {
-        reject(new Error(`${this.id} is not ready in time; see ${this.logFile}`))
+        reject(new Error(`${this.id} did not become ready in time; see ${this.logFile}`))
       }, READY_TIMEOUT_MILLISECONDS)
       child.once('exit', code => {
         clearTimeout(timer)
-        reject(new Error(`${this.id} ended with ${String(code)}; see ${this.logFile}`))
+        reject(new Error(`${this.id} exited with code ${String(code)}; see ${this.logFile}`))
       })
       child.once('error', reject)
       child.stdout?.pipe(split2()).once('data', (line: string) => {
@@ -74,7 +77,9 @@
     if (this.running) this.#child?.kill(name)
   }
 
-  /** Sends a signal that ends the process and waits until it has; its exit code, null when killed. */
+  /**
+   * Sends a terminating signal and waits for the exit. The exit code is null if a signal ended it.
+   */
   async end(name: 'SIGKILL' | 'SIGTERM'): Promise<number | null> {
     const child = this.#child
     if (child === null || !this.running) return child?.exitCode ?? null
--- a/packages/bench/src/deployment/network.ts
+++ b/packages/bench/src/deployment/network.ts
@@ -1,4 +1,4 @@
-/** How each zone reaches each host: straight, or through the relay that stands for the network. */
+/** How each zone reaches each host: directly, or through the relay that simulates the network. */
 import type { AvailabilityZoneId } from '@nutmegcourse/shared'
 import { adminCall } from './adminCall.js'
 
@@ -12,12 +12,12 @@
   readonly #relayPort: number | null
   readonly #ports = new Map<string, number>()
 
-  /** `relayPort` null: every zone reaches everything straight, without delay. */
+  /** If `relayPort` is null, every zone reaches every host directly, without delay. */
   constructor(relayPort: number | null) {
     this.#relayPort = relayPort
   }
 
-  /** Opens a way from each zone to the destination. */
+  /** Opens a route from each zone to the destination. */
   async connect(zones: readonly AvailabilityZoneId[], destination: Destination): Promise<void> {
     const { id, zone: targetZone, port } = destination
     if (this.#relayPort !== null) {
@@ -29,10 +29,10 @@
     }
   }
 
-  /** The port by which a zone reaches a host. */
+  /** The local port through which a zone reaches a host. */
   portFrom(zone: AvailabilityZoneId, id: string): number {
     const port = this.#ports.get(`${zone} ${id}`)
-    if (port === undefined) throw new Error(`no way from ${zone} to ${id}`)
+    if (port === undefined) throw new Error(`no route from ${zone} to ${id}`)
     return port
   }
 
@@ -41,20 +41,21 @@
     to: readonly AvailabilityZoneId[],
     cut: boolean,
   ): Promise<void> {
-    if (this.#relayPort === null) throw new Error('a deployment without a relay has no cuts')
+    if (this.#relayPort === null) throw new Error('cuts need a deployment with a relay')
     await adminCall(this.#relayPort, 'relay.cut', { from, to, cut })
   }
 
-  /** Breaks standing connections; what was on its way is lost. */
+  /** Resets open connections; data in transit is lost. */
   async reset(
     from: readonly AvailabilityZoneId[],
     to: readonly AvailabilityZoneId[],
   ): Promise<void> {
-    if (this.#relayPort === null) throw new Error('a deployment without a relay has no resets')
+    if (this.#relayPort === null)
+      throw new Error('connection resets need a deployment with a relay')
     await adminCall(this.#relayPort, 'relay.reset', { from, to })
   }
 
-  /** Bytes so far by `source region>target region`. */
+  /** Total bytes forwarded, by `source region>target region`. */
   async bytes(): Promise<Readonly<Record<string, number>>> {
     return this.#relayPort === null ? {} : adminCall(this.#relayPort, 'relay.bytes', {})
   }
--- a/packages/bench/src/deployment/plan.ts
+++ b/packages/bench/src/deployment/plan.ts
@@ -1,4 +1,4 @@
-/** Who stands where in a deployment: ids, zones and ports, worked out before anything starts. */
+/** The layout of a deployment (ids, zones and ports), computed before any process starts. */
 import {
   availabilityZoneId,
   backendServerId,
@@ -13,7 +13,7 @@
 import { freePorts } from '@nutmegcourse/stand-ins'
 import type { DeploymentShape, ShapeZone } from './shapes.js'
 
-/** The platform stands apart from the zones, so that a zone can lose it alone. */
+/** The platform has a zone of its own, so that a zone can be cut off from the platform alone. */
 export const PLATFORM_ZONE = availabilityZoneId('platform')
 
 export interface PlannedServer {
@@ -35,7 +35,7 @@
 
 export interface PlannedDatabase {
   readonly id: DatabaseId
-  /** The first leads in the beginning. */
+  /** The first one is the initial primary. */
   readonly servers: readonly PlannedServer[]
 }
 
@@ -66,7 +66,7 @@
   return { shape, databases, entryHosts }
 }
 
-/** Primaries begin in the zones of the platform's region, in turn. */
+/** Distributes the initial primaries round-robin over the zones of the platform's region. */
 function planDatabase(
   shape: DeploymentShape,
   index: number,
@@ -87,7 +87,7 @@
 
 function zoneAt(shape: DeploymentShape, index: number): ShapeZone {
   const found = shape.zones[index % shape.zones.length]
-  if (found === undefined) throw new Error('a deployment without zones')
+  if (found === undefined) throw new Error('the deployment shape has no zones')
   return found
 }
 
--- a/packages/bench/src/deployment/platform.ts
+++ b/packages/bench/src/deployment/platform.ts
@@ -1,4 +1,6 @@
-/** A deployment's dealings with its store and host list: what operators and the platform put there. */
+/**
+ * Writes to a deployment's store and host list what operators and the platform would, and reads it.
+ */
 import {
   groupKey,
   RECENT_CHANGES_KEPT,
@@ -30,7 +32,7 @@
     this.hostListPort = hostListPort
   }
 
-  /** The first contents of the store and the host list. */
+  /** Writes the initial contents of the store and the host list. */
   async initialize(routes: NonNullable<HostListChange['routes']>): Promise<void> {
     await this.#setHosts({ hosts: this.#listedHosts(), routes, immediate: true })
     for (const database of this.#plan.databases) {
@@ -53,18 +55,18 @@
     await adminCall(this.storePort, 'fault.set', faults)
   }
 
-  /** Calls so far by method. */
+  /** Number of calls that the store has received, by method. */
   async storeCalls(): Promise<Readonly<Record<string, number>>> {
     return adminCall(this.storePort, 'calls.count', {})
   }
 
   async groupRecord(database: DatabaseId): Promise<GroupRecord> {
     const stored = await this.#get(groupKey(database))
-    if (stored === null) throw new Error(`no record of ${database}`)
+    if (stored === null) throw new Error(`no group record of ${database} in the store`)
     return stored.value as GroupRecord
   }
 
-  /** Puts targets as an operator's tool would: the next version, by compare-and-swap. */
+  /** Stores targets as the operator's tool does: as the next version, by compare-and-swap. */
   async applyTargets(targets: Targets): Promise<void> {
     const current = await this.#get(TARGETS_KEY)
     const before = (current?.value ?? null) as VersionedTargets | null
@@ -90,7 +92,8 @@
       'store.compareAndSwap',
       { key, expectedRevision, value },
     )
-    if (!result.succeeded) throw new Error(`${key} was changed by someone else`)
+    if (!result.succeeded)
+      throw new Error(`compare-and-swap of ${key} failed: the key was changed concurrently`)
   }
 
   async #setHosts(change: HostListChange): Promise<void> {
@@ -125,7 +128,7 @@
 
 function firstRecord(database: PlannedDatabase): GroupRecord {
   const [primary] = database.servers
-  if (primary === undefined) throw new Error('a database without servers')
+  if (primary === undefined) throw new Error('the planned database has no servers')
   return {
     database: database.id,
     term: FIRST_TERM,
--- a/packages/bench/src/deployment/serverCommands.ts
+++ b/packages/bench/src/deployment/serverCommands.ts
@@ -1,8 +1,8 @@
-/** What a test tells one backend server, past the fleet. */
+/** Commands that a test sends directly to one backend server, bypassing the proxies. */
 import { askBackendServer } from './adminCall.js'
 import type { PlannedServer } from './plan.js'
 
-/** How late the server applies what it receives from its primary. */
+/** Sets the delay after which the server applies what it receives from its primary. */
 export async function setReplicationLag(
   server: PlannedServer,
   milliseconds: number,
@@ -14,16 +14,16 @@
   await askBackendServer(server.port, `SELECT platform_pause_replication(${paused})`)
 }
 
-/** Reads and writes that the server has run since it started. */
+/** Number of reads and writes that the server has run since it started. */
 export async function countStatements(server: PlannedServer): Promise<number> {
   const [row] = await askBackendServer(server.port, 'SELECT platform_statement_count()')
   return Number(row?.[0])
 }
 
 export interface ConnectionCounts {
-  /** The most that stood at once since the server started. */
+  /** Most concurrent connections since the server started. */
   readonly peak: number
-  /** How many found the limit reached. */
+  /** Connections refused because the limit was reached. */
   readonly refused: number
 }
 
--- a/packages/bench/src/deployment/shapes.ts
+++ b/packages/bench/src/deployment/shapes.ts
@@ -1,4 +1,4 @@
-/** The two deployments of today, as parameters of a `Deployment`. */
+/** The parameters of the two existing deployments, for use with `Deployment`. */
 import {
   availabilityZoneId,
   className,
@@ -17,15 +17,15 @@
   readonly name: 'atlas-quai' | 'shutterbaithak'
   /** Databases are named `<service>-1` and so on. */
   readonly service: string
-  /** One backend server of each database stands in each zone. */
+  /** Each zone has one backend server of each database. */
   readonly zones: readonly ShapeZone[]
-  /** Where the store and the host list stand. */
+  /** The region of the store and the host list. */
   readonly platformRegion: RegionId
   readonly databaseCount: number
   readonly slots: number
   readonly connectionLimit: number
   readonly connectMilliseconds: number
-  /** One-way delays. */
+  /** One-way delays between zones of a region and between regions. */
   readonly zoneDelayMilliseconds: number
   readonly regionDelayMilliseconds: number
   readonly regionBitsPerSecond: number
--- a/packages/bench/src/failover/failoverRound.ts
+++ b/packages/bench/src/failover/failoverRound.ts
@@ -1,4 +1,7 @@
-/** One failed primary under load: what callers saw, and the steps that the agents told. */
+/**
+ * Fails the primary once under load, and measures the gap that callers saw and the steps that
+ * agents reported.
+ */
 import { setTimeout as delay } from 'node:timers/promises'
 import type { AgentExplainResult, ExplainedEvent } from '@nutmegcourse/protocol'
 import { adminCall } from '../deployment/adminCall.js'
@@ -13,14 +16,14 @@
 
 export interface RoundResult {
   readonly gapMilliseconds: number
-  /** When each step was first told, in milliseconds after the fault. */
+  /** Time of the first report of each step, in milliseconds after the fault. */
   readonly steps: ReadonlyMap<string, number>
   readonly unknown: number
 }
 
 const POLL_MILLISECONDS = 20
 const CHANGE_TIMEOUT_MILLISECONDS = 15_000
-/** After the change: time in which its last steps and the returning server show. */
+/** Time allowed after the change for its last steps to be reported. */
 const AFTER_CHANGE_MILLISECONDS = 1000
 const SETTLE_MILLISECONDS = 1500
 
@@ -32,7 +35,7 @@
   const database = deployment.database(0)
   const { primary, term } = await deployment.platform.groupRecord(database.id)
   const victim = database.servers.find(server => server.id === primary)
-  if (victim === undefined) throw new Error('the record names no primary')
+  if (victim === undefined) throw new Error('the group record has no primary')
   const from = load.now()
   const wallClock = Date.now()
   const before = load.operations.length
@@ -48,7 +51,7 @@
   await delay(SETTLE_MILLISECONDS)
   return {
     gapMilliseconds: longestWriteGap(load.operations, database.id, from),
-    steps: firstOfEachStep(events, term, wallClock),
+    steps: firstTimeOfEachStep(events, term, wallClock),
     unknown: operations.filter(operation => operation.outcome.kind === 'unknown').length,
   }
 }
@@ -86,7 +89,7 @@
   }
 }
 
-/** Asked in another zone than the victim's, which may be cut off. */
+/** Queries an agent outside the failed server's zone, because that zone may be isolated. */
 async function readEvents(
   deployment: Deployment,
   victim: PlannedServer,
@@ -97,7 +100,7 @@
   return (await adminCall<AgentExplainResult>(host.agentPort, 'agent.explain', params)).events
 }
 
-function firstOfEachStep(
+function firstTimeOfEachStep(
   events: readonly ExplainedEvent[],
   formerTerm: number,
   wallClock: number,
@@ -113,7 +116,7 @@
 async function waitUntil(condition: () => Promise<boolean>): Promise<void> {
   const deadline = Date.now() + CHANGE_TIMEOUT_MILLISECONDS
   while (!(await condition())) {
-    if (Date.now() > deadline) throw new Error('the change of primary did not end in time')
+    if (Date.now() > deadline) throw new Error('the change of primary did not complete in time')
     await delay(POLL_MILLISECONDS)
   }
 }
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -1,7 +1,8 @@
 /**
- * `npm run bench -- fleet`: what control costs one host, at sizes up to the ones that are planned
- * for. One shipped agent stands among fakes that send what a fleet of that size would; a few tens
- * of real agents check the fakes. Prints tables, and one JSON object as its last line.
+ * `npm run bench -- fleet`: measures the cost of the control plane on one host, for fleets up to
+ * the planned size. Runs one production agent among fakes that send what a fleet of that size would
+ * send, and validates the fakes against a small fleet of real agents. Prints tables; the last line
+ * is one JSON object.
  */
 import { idleProcessorShare } from './fleet/idleProcess.js'
 import { fitLine, fitPair, type LinearFit, type PairFit } from './fleet/linearFit.js'
@@ -16,17 +17,22 @@
 const DATABASE_SIZES = [FEW_DATABASES, 100, 400, 1000, 1900]
 const PLANNED: FleetSize = { hosts: MANY_HOSTS, databases: 1900 }
 const REAL: FleetSize = { hosts: 30, databases: 10 }
-/** Measured at the same time, each with its own fakes. */
+/** Concurrent measurements, each with its own fakes. */
 const CONCURRENT_MEASUREMENTS = 3
-/** The fakes may differ from real agents by so much. */
+/** Maximum relative difference between the traffic of fakes and of real agents. */
 const MAX_RELATIVE_DIFFERENCE = 0.25
 const SECONDS_PER_DAY = 86_400
-/** Events a day at the planned size: configuration; hosts that fail or are replaced; group records. */
+/**
+ * Events per day at the planned size: configuration changes, failed or replaced hosts, group
+ * records.
+ */
 const EVENTS_PER_DAY = {
   configurationChange: 2000,
-  /** 306 hosts a day: one word when each goes, one when it is back. */
+  /**
+   * 306 hosts fail or are replaced per day: one message when a host leaves, one when it is back.
+   */
   memberChange: 612,
-  /** 2 changes of primary a day of each of 1,900 databases at the most, three records each. */
+  /** At most 2 changes of primary per day in each of 1,900 databases, with three records each. */
   groupChange: 11_400,
 } as const
 
@@ -67,7 +73,7 @@
   }
 }
 
-/** What events add in the mean over a day, at the planned size. */
+/** Mean additional load due to events over a day, at the planned size. */
 function eventLoad(row: Measurement): { bytes: number; processorShare: number } {
   const kinds = Object.keys(EVENTS_PER_DAY) as EventKind[]
   const perSecond = (kind: EventKind): number => EVENTS_PER_DAY[kind] / SECONDS_PER_DAY
@@ -127,7 +133,10 @@
   }
 }
 
-/** Heartbeats go by link, opinions by watched database. Small fleets send heartbeats twice as often. */
+/**
+ * Heartbeats scale with links, opinions with watched databases. Only large fleets are fitted,
+ * because small ones send heartbeats twice as often.
+ */
 function fitPeerBytes(rows: readonly Measurement[]): PairFit {
   const large = rows.filter(row => row.hosts >= LARGE_FLEET_HOSTS)
   return fitPair(
@@ -145,21 +154,26 @@
   const rows = await measureAll([...bySize, ...byDatabases, REAL])
   printTable(rows)
   const idle = await idleProcessorShare()
-  console.log(`an idle process that wakes 10 times a second: ${(idle * 100).toFixed(2)}% of a core`)
+  console.log(
+    `an idle process with 10 timer wake-ups per second: ${(idle * 100).toFixed(2)}% of a core`,
+  )
   const real = await measureRealFleet(REAL)
   const fake = rows.find(row => row.hosts === REAL.hosts)
   const planned = rows.find(
     row => row.hosts === PLANNED.hosts && row.databases === PLANNED.databases,
   )
-  if (fake === undefined || planned === undefined) throw new Error('a size was not measured')
+  if (fake === undefined || planned === undefined)
+    throw new Error('a required fleet size was not measured')
   const difference = fake.quiet.peerBytes / real.firstPeerBytes - 1
   console.log(
-    `${REAL.hosts} real agents: peers ${Math.round(real.firstPeerBytes)} B/s at the first host, ` +
-      `fakes ${Math.round(fake.quiet.peerBytes)} B/s: ${(difference * 100).toFixed(0)}% apart, ` +
+    `${REAL.hosts} real agents: peer traffic ${Math.round(real.firstPeerBytes)} B/s at the first host, ` +
+      `fakes ${Math.round(fake.quiet.peerBytes)} B/s: difference ${(difference * 100).toFixed(0)}%, ` +
       `${Math.abs(difference) <= MAX_RELATIVE_DIFFERENCE ? 'within' : 'OUTSIDE'} ${MAX_RELATIVE_DIFFERENCE * 100}%`,
   )
   const { median, worst } = real.changeMilliseconds
-  console.log(`a change of targets at the last of them: median ${median} ms, worst ${worst} ms`)
+  console.log(
+    `time until a change of targets reached all of them: median ${median} ms, worst ${worst} ms`,
+  )
   const watched = watchedDatabasesPerHost(PLANNED)
   const result = {
     rows,
--- a/packages/bench/src/fleet/agentProcess.ts
+++ b/packages/bench/src/fleet/agentProcess.ts
@@ -1,4 +1,4 @@
-/** One shipped agent as a process, with what it says it uses. */
+/** Runs a production agent as a process and reads its reported resource usage. */
 import { spawn, type ChildProcess } from 'node:child_process'
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -72,12 +72,12 @@
     return answer._unsafeUnwrap()
   }
 
-  /** Freezes (SIGSTOP) or thaws (SIGCONT) the process. */
+  /** Pauses (SIGSTOP) or resumes (SIGCONT) the process. */
   signal(signal: 'SIGSTOP' | 'SIGCONT'): void {
     this.#child.kill(signal)
   }
 
-  /** Ends the process and answers its exit code, null when a signal ended it. */
+  /** Ends the process and resolves with its exit code, or null if a signal ended it. */
   async end(signal: 'SIGTERM' | 'SIGKILL'): Promise<number | null> {
     this.#connection.close()
     const ended = new Promise<number | null>(resolve => this.#child.once('exit', resolve))
@@ -95,7 +95,7 @@
 function readPorts(child: ChildProcess): Promise<AgentPorts> {
   return new Promise((resolve, reject) => {
     child.once('exit', code => {
-      reject(new Error(`the agent ended with ${code ?? 'a signal'}`))
+      reject(new Error(`the agent exited with ${code ?? 'a signal'} before it was ready`))
     })
     child.stdout?.once('data', (line: Buffer) => {
       resolve((JSON.parse(line.toString()) as { ports: AgentPorts }).ports)
--- a/packages/bench/src/fleet/countingPipe.ts
+++ b/packages/bench/src/fleet/countingPipe.ts
@@ -1,4 +1,6 @@
-/** Passes bytes on to a loopback port and counts them, for traffic that the far side does not count. */
+/**
+ * Forwards bytes to a loopback port and counts them, for traffic that the target does not count.
+ */
 import { connect, type Server } from 'node:net'
 import { listen } from '@nutmegcourse/transport'
 
@@ -8,7 +10,7 @@
   #server: Server | null = null
   #bytes = 0
 
-  /** Both directions. */
+  /** Bytes forwarded in both directions. */
   get bytes(): number {
     return this.#bytes
   }
--- a/packages/bench/src/fleet/fakePeers.ts
+++ b/packages/bench/src/fleet/fakePeers.ts
@@ -1,7 +1,7 @@
 /**
- * The rest of a fleet at one agent's interfaces: every other host answers the agent's dials, and
- * those that would choose the agent as their neighbour dial it. All share one view of the news,
- * as hosts do when nothing is under way.
+ * Fakes the rest of the fleet for one agent: every other host accepts the agent's connections, and
+ * those that would choose the agent as their neighbour connect to it. All share one gossip state,
+ * as hosts do once all items have spread.
  */
 import type { Server, Socket } from 'node:net'
 import {
@@ -23,13 +23,16 @@
 
 const LOOPBACK = '127.0.0.1'
 const HEARTBEAT_MILLISECONDS = 1000
-/** As the shipped membership machine spaces them. */
+/** Same heartbeat spacing as in the production membership protocol. */
 const LARGE_FLEET_HOSTS = 13
 const LARGE_FLEET_FACTOR = 2
 const LINKS_WITH_HEARTBEATS_BOTH_WAYS = 12
 const OPINION_MILLISECONDS = 1000
 const TIMEOUT_MILLISECONDS = 5000
-/** Beside the link that brings an item first, so many of the others bring it before they hear it. */
+/**
+ * Probability that another link also delivers an item, because it sent the item before it learned
+ * that the agent has it.
+ */
 const DUPLICATE_PROBABILITY = 0.5
 
 export class FakePeers {
@@ -51,7 +54,7 @@
     this.#random = random
   }
 
-  /** Requests and answers that passed on the links, both ways. */
+  /** Requests and answers on the links, in both directions. */
   get messages(): number {
     return this.#messages
   }
@@ -60,7 +63,7 @@
     return this.#links.size
   }
 
-  /** Listens as every other host; answers their ports, in the order of their places. */
+  /** Listens as every other host; resolves with their ports, in the order of their locations. */
   async listen(): Promise<ReadonlyMap<EntryHostId, number>> {
     const ports = new Map<EntryHostId, number>()
     for (const location of this.#locations) {
@@ -74,10 +77,10 @@
     return ports
   }
 
-  /** Hosts that would choose the agent as their neighbour and that it does not choose itself. */
+  /** Hosts that would choose the agent as their neighbour but are not chosen by it. */
   findDialers(): readonly HostLocation[] {
     const self = this.#locations.find(location => location.entryHost === this.#self)
-    if (self === undefined) throw new Error('the measured host has no place')
+    if (self === undefined) throw new Error('the measured host is not among the locations')
     const othersOf = (location: HostLocation): readonly HostLocation[] =>
       this.#locations.filter(other => other !== location)
     const chosen = new Set(chooseNeighbours(self, othersOf(self)))
@@ -103,12 +106,12 @@
     }, OPINION_MILLISECONDS)
   }
 
-  /** The other watchers of a database that the agent watches repeat what they think of its primary. */
+  /** Adds an opinion on a primary that a fake watcher sends repeatedly. */
   addOpinion(opinion: WatcherOpinion): void {
     this.#opinions.push(opinion)
   }
 
-  /** Something new reaches the agent as it would through its links. */
+  /** Delivers a new item to the agent as its links would, including duplicates. */
   inject(item: GossipItem): void {
     this.gossip.handle({ kind: 'learned', item })
     const links = [...this.#links.values()]
--- a/packages/bench/src/fleet/fleetShape.ts
+++ b/packages/bench/src/fleet/fleetShape.ts
@@ -1,4 +1,4 @@
-/** Fleets of any size, laid out like the ones that are planned for: hosts, zones, regions, databases. */
+/** Generates fleets of any size with the planned layout of hosts, zones, regions and databases. */
 import type { GroupRecord, ListedBackendServer, Member } from '@nutmegcourse/protocol'
 import {
   availabilityZoneId,
@@ -23,7 +23,7 @@
 const SERVERS_PER_DATABASE = 3
 const LOOPBACK = '127.0.0.1'
 
-const regionsOf = (size: FleetSize): number =>
+const regionCount = (size: FleetSize): number =>
   size.hosts < LARGE_FLEET_HOSTS ? 1 : LARGE_FLEET_REGIONS
 
 function zoneLocation(zone: number): Pick<HostLocation, 'zone' | 'region'> {
@@ -34,7 +34,7 @@
 }
 
 export function hostLocations(size: FleetSize): readonly HostLocation[] {
-  const zones = regionsOf(size) * ZONES_PER_REGION
+  const zones = regionCount(size) * ZONES_PER_REGION
   return Array.from({ length: size.hosts }, (_, index) => ({
     entryHost: entryHostId(`host-${index}`),
     ...zoneLocation(index % zones),
@@ -59,13 +59,13 @@
   status: 'alive',
 })
 
-/** A database's servers, one in each zone of one region. */
+/** The servers of a database, one in each zone of one region. */
 export function serversOf(
   index: number,
   size: FleetSize,
   port: number,
 ): readonly ListedBackendServer[] {
-  const region = index % regionsOf(size)
+  const region = index % regionCount(size)
   return Array.from({ length: SERVERS_PER_DATABASE }, (_, server) => ({
     kind: 'backendServer',
     id: backendServerId(`db-${index}-${server}`),
--- a/packages/bench/src/fleet/idleProcess.ts
+++ b/packages/bench/src/fleet/idleProcess.ts
@@ -1,6 +1,6 @@
 /**
- * What a process is charged that only wakes up: the floor under every processor figure of this
- * machine, which may count in coarse ticks.
+ * Measures the processor time charged to a process that only wakes up. This is the lower bound of
+ * all processor figures on a machine, which may account processor time in coarse ticks.
  */
 import { spawn } from 'node:child_process'
 
@@ -17,7 +17,7 @@
   }, 3000)
 `
 
-/** Of one core. */
+/** As a share of one core. */
 export function idleProcessorShare(): Promise<number> {
   return new Promise(resolve => {
     const child = spawn(process.execPath, ['--eval', PROGRAM], {
--- a/packages/bench/src/fleet/linearFit.ts
+++ b/packages/bench/src/fleet/linearFit.ts
@@ -1,4 +1,4 @@
-/** Least squares through measured points. */
+/** Least-squares fits of measured points. */
 export interface Point {
   readonly x: number
   readonly y: number
@@ -7,7 +7,7 @@
 export interface LinearFit {
   readonly intercept: number
   readonly slope: number
-  /** The greatest distance of a point from the line. */
+  /** The largest residual of a point from the line. */
   readonly worstResidual: number
 }
 
@@ -24,11 +24,11 @@
   return { intercept, slope, worstResidual: Math.max(...residuals) }
 }
 
-/** A value that two measured causes make up: `first` of one, `second` of the other, nothing else. */
+/** Fit of a value that is a linear combination of two measured variables, without an intercept. */
 export interface PairFit {
   readonly first: number
   readonly second: number
-  /** The greatest distance of a point from the plane. */
+  /** The largest residual of a point from the plane. */
   readonly worstResidual: number
 }
 
--- a/packages/bench/src/fleet/measureAgent.ts
+++ b/packages/bench/src/fleet/measureAgent.ts
@@ -1,4 +1,4 @@
-/** Measures one shipped agent against what a fleet of a given size would send it. */
+/** Measures one production agent with the traffic that a fleet of a given size would send it. */
 import { setTimeout as pause } from 'node:timers/promises'
 import { WatcherPlan, type HostLocation, type Watcher } from '@nutmegcourse/coordination'
 import type { ListedBackendServer, GossipItem } from '@nutmegcourse/protocol'
@@ -19,32 +19,34 @@
 import { FakeStore, fakeHostList, targetsOf } from './platformFakes.js'
 
 const LOOPBACK = '127.0.0.1'
-/** Past the agent's own settling time, and until its code is compiled. */
+/** Covers the agent's settling time and the just-in-time compilation of its code. */
 const SETTLE_MILLISECONDS = 6000
 const QUIET_MILLISECONDS = 5000
 const START_TIMEOUT_MILLISECONDS = 20_000
 const POLL_MILLISECONDS = 250
 const EVENTS = 20
 const EVENT_SPACING_MILLISECONDS = 75
-/** Never dialed: servers of databases that the agent does not watch. */
+/**
+ * Port of backend servers that are never contacted, as the agent does not watch their databases.
+ */
 const UNUSED_PORT = 9
 const SEED = 4
 const MEGABYTE = 1024 * 1024
 const MICROSECONDS_PER_SECOND = 1_000_000
 
-/** Rates are per second, of the quiet fleet. */
+/** Rates per second while there are no events. */
 export interface QuietCost {
   readonly peerBytes: number
   readonly watchBytes: number
   readonly storeBytes: number
   readonly hostListBytes: number
   readonly messages: number
-  /** Of one core. */
+  /** As a share of one core. */
   readonly processorShare: number
   readonly storeCalls: number
 }
 
-/** What one event of a kind costs on top. */
+/** Additional cost of one event. */
 export interface EventCost {
   readonly bytes: number
   readonly processorMilliseconds: number
@@ -57,7 +59,7 @@
   readonly databases: number
   readonly watchedDatabases: number
   readonly links: number
-  /** From the process's start to knowing every host and database. */
+  /** From the start of the process until it knows every host and database. */
   readonly startMilliseconds: number
   readonly quiet: QuietCost
   readonly events: Readonly<Record<EventKind, EventCost>>
@@ -79,7 +81,7 @@
   readonly at: number
 }
 
-/** Everything around the measured agent. */
+/** The fakes and backend servers around the measured agent. */
 class AgentEnvironment {
   readonly locations: readonly HostLocation[]
   readonly peers: FakePeers
@@ -104,7 +106,7 @@
 
   get self(): HostLocation {
     const [first] = this.locations
-    if (first === undefined) throw new Error('a fleet has hosts')
+    if (first === undefined) throw new Error('the fleet has no hosts')
     return first
   }
 
@@ -156,7 +158,7 @@
     this.peers.gossip.handle({ kind: 'learned', item })
   }
 
-  /** Backend servers run for the databases that the agent watches; the others are only listed. */
+  /** Runs the backend servers of databases that the agent watches; the others are only listed. */
   async #startServers(): Promise<readonly ListedBackendServer[]> {
     const plan = new WatcherPlan(this.locations)
     const listed: ListedBackendServer[] = []
@@ -197,7 +199,7 @@
     return running
   }
 
-  /** One proxy that takes every snapshot. */
+  /** Subscribes one proxy, which receives every snapshot. */
   async #subscribe(agent: AgentProcess): Promise<void> {
     const port = agent.ports.proxyListen
     const opened = await openJsonRpc(LOOPBACK, port, {}, QUIET_MILLISECONDS)
@@ -257,7 +259,9 @@
     if (hosts >= size.hosts && groups >= size.databases) return
     await pause(POLL_MILLISECONDS)
   }
-  throw new Error(`the agent does not know its fleet after ${START_TIMEOUT_MILLISECONDS} ms`)
+  throw new Error(
+    `the agent did not know all hosts and databases within ${START_TIMEOUT_MILLISECONDS} ms`,
+  )
 }
 
 async function measureQuietCost(
--- a/packages/bench/src/fleet/platformFakes.ts
+++ b/packages/bench/src/fleet/platformFakes.ts
@@ -1,4 +1,4 @@
-/** The store and the host list at one agent's interfaces, holding what a fleet of any size would. */
+/** Fakes of the store and the host list with the contents for a fleet of any size. */
 import type { Server } from 'node:net'
 import {
   TARGETS_KEY,
@@ -35,7 +35,7 @@
   },
 })
 
-/** A service on a free loopback port. */
+/** A JSON-RPC service on a free loopback port. */
 export class FakeService {
   readonly #handlers: RpcHandlers
   #server: Server | null = null
@@ -59,7 +59,7 @@
   }
 }
 
-/** Group records and targets, with waiting watches that end at the first change. */
+/** Stores group records and targets. A watch is answered at the first change or at its timeout. */
 export class FakeStore {
   readonly #values = new Map<string, StoredValue>()
   readonly #waiting = new Set<() => void>()
@@ -130,7 +130,10 @@
   }
 }
 
-/** `knowsVersions`: whether the platform answers `unchanged` to who holds the newest list. */
+/**
+ * `knowsVersions`: whether the host list answers `unchanged` to callers that have the newest
+ * version.
+ */
 export function fakeHostList(hosts: readonly ListedHost[], knowsVersions: boolean): FakeService {
   return new FakeService({
     'hosts.list': params => {
--- a/packages/bench/src/fleet/realFleet.ts
+++ b/packages/bench/src/fleet/realFleet.ts
@@ -1,4 +1,4 @@
-/** A few tens of real agents over loopback, to check what the fakes say about one. */
+/** Measures a small fleet of real agents over loopback, to validate the results with fakes. */
 import { setTimeout as pause } from 'node:timers/promises'
 import { WatcherPlan } from '@nutmegcourse/coordination'
 import { databaseId } from '@nutmegcourse/shared'
@@ -20,7 +20,7 @@
 const START_TIMEOUT_MILLISECONDS = 20_000
 
 export interface RealFleetMeasurement extends FleetSize {
-  /** Of the first host, the one that the fakes surround. */
+  /** Figures of the first host, which is the one measured with fakes. */
   readonly firstPeerBytes: number
   readonly firstProcessorShare: number
   readonly firstLinks: number
@@ -29,9 +29,9 @@
   readonly meanProcessorShare: number
   readonly meanResidentMegabytes: number
   readonly storeCalls: number
-  /** From a change in the store until the last agent has it in force, of several changes. */
+  /** Time from a change in the store until all agents have applied it, over several changes. */
   readonly changeMilliseconds: { readonly median: number; readonly worst: number }
-  /** Hosts that watch something, and the most databases that one watches. */
+  /** Number of hosts that watch a database, and the most databases watched by one host. */
   readonly watchingHosts: number
   readonly mostWatched: number
 }
@@ -56,7 +56,7 @@
     }
   }
   const store = new FakeStore(records)
-  // The list is filled while agents start: each host begins with those that are listed so far.
+  // Hosts are added to the list while agents start, so an agent starts with those listed so far.
   const hostList = fakeHostList(hosts, false)
   const storePort = await store.start()
   const hostListPort = await hostList.start()
@@ -83,7 +83,9 @@
   }
 }
 
-/** Mean watched databases by the plan, for a fleet of any size: no process needed. */
+/**
+ * Watched databases of each host according to the plan, for a fleet of any size. Starts no process.
+ */
 export function watchedDatabasesPerHost(size: FleetSize): readonly number[] {
   const locations = hostLocations(size)
   const plan = new WatcherPlan(locations)
@@ -112,7 +114,7 @@
     if (know) return
     await pause(POLL_MILLISECONDS)
   }
-  throw new Error('the agents do not know each other in time')
+  throw new Error('the agents did not know all hosts and databases in time')
 }
 
 async function timeChanges(
--- a/packages/bench/src/neighbourGraph.ts
+++ b/packages/bench/src/neighbourGraph.ts
@@ -1,6 +1,7 @@
 /**
- * `node packages/bench/dist/src/neighbourGraph.js`: how wide the graph of links between agents is,
- * whole and after a cut. The last line is one JSON object.
+ * `node packages/bench/dist/src/neighbourGraph.js`: measures the reach and the hop count of the
+ * graph of links between agents, in the whole fleet and after a partition. The last line is one
+ * JSON object.
  */
 import { chooseNeighbours, type HostLocation } from '@nutmegcourse/coordination'
 import { hostLocations } from './fleet/fleetShape.js'
@@ -20,7 +21,7 @@
 
 type Graph = ReadonlyMap<string, ReadonlySet<string>>
 
-/** Links chosen when the whole fleet lived, in both directions, among the hosts of a part. */
+/** The bidirectional links within a part, chosen while all hosts of the fleet were alive. */
 function linksAmong(all: readonly HostLocation[], part: readonly HostLocation[]): Graph {
   const members = new Set<string>(part.map(host => host.entryHost))
   const graph = new Map<string, Set<string>>([...members].map(id => [id, new Set<string>()]))
@@ -35,7 +36,7 @@
   return graph
 }
 
-/** Hops from a host to the last one it reaches, and how many it reaches. */
+/** Hops from a host to the farthest one it reaches, and the number of hosts it reaches. */
 function breadthFirstSpread(
   start: string,
   graph: Graph,
@@ -56,8 +57,8 @@
 
 const results = SIZES.flatMap(size => {
   const all = hostLocations({ hosts: size, databases: 0 })
-  return PARTS.map(({ name, includes: holds }) => {
-    const part = all.filter(host => all[0] !== undefined && holds(host, all[0]))
+  return PARTS.map(({ name, includes }) => {
+    const part = all.filter(host => all[0] !== undefined && includes(host, all[0]))
     const graph = linksAmong(all, part)
     const spreads = [...graph.keys()].map(id => breadthFirstSpread(id, graph))
     const links = [...graph.values()].map(peers => peers.size)
--- a/packages/bench/src/newsQueue.ts
+++ b/packages/bench/src/newsQueue.ts
@@ -1,7 +1,7 @@
 /**
- * `node packages/bench/dist/src/newsQueue.js`: one slow receiver of news, with a queue that replaces
- * older items of a key against one that keeps every item. Virtual time; the shipped queue.
- * The last line is one JSON object.
+ * `node packages/bench/dist/src/gossipQueue.js`: compares queue policies for one slow receiver of
+ * gossip: replacing older items of a key, or keeping every item. Runs the production queue in
+ * virtual time. The last line is one JSON object.
  */
 import { GossipQueue, type GossipQueueOptions } from '@nutmegcourse/coordination'
 import type { GossipItem } from '@nutmegcourse/protocol'
@@ -22,9 +22,9 @@
 interface Workload {
   readonly name: string
   readonly keys: number
-  /** Changes a second over all keys, for a minute. */
+  /** Changes per second over all keys, for one minute. */
   readonly changesPerSecond: number
-  /** How long the receiver takes over a batch. */
+  /** How long the receiver takes to process a batch. */
   readonly batchMilliseconds: number
 }
 
@@ -62,12 +62,12 @@
   readonly longestQueue: number
   readonly sent: number
   readonly dropped: number
-  /** Keys whose newest value the receiver lacks in the end: only a comparison finds them. */
+  /** Keys whose newest value the receiver never got; only anti-entropy would deliver it. */
   readonly keysLeftOld: number
-  /** How long after a value was made the receiver had it or a newer one. */
+  /** Age of a value when the receiver gets it. */
   readonly meanStalenessMilliseconds: number
   readonly worstStalenessMilliseconds: number
-  /** From the last change until the queue is empty. */
+  /** From the end of the burst until the queue is empty. */
   readonly catchUpMilliseconds: number
 }
 
@@ -91,7 +91,7 @@
   readonly #staleness: number[] = []
   readonly #createdAt: readonly number[]
 
-  /** `madeAt`: when each value, numbered from 0, was made. */
+  /** `madeAt`: creation time of each value, numbered from 0. */
   constructor(createdAt: readonly number[]) {
     this.#createdAt = createdAt
   }
--- a/packages/bench/src/proxyCost.ts
+++ b/packages/bench/src/proxyCost.ts
@@ -1,6 +1,7 @@
 /**
- * What the proxy costs, as a ratio to a direct connection and to a bare byte relay in the same run.
- * Targets take turns, so that a busy machine slows them alike. The last line is one JSON object.
+ * Measures the cost of the proxy relative to a direct connection and to a plain byte relay in the
+ * same run. The targets are measured in turn, so that other load on the machine affects them
+ * equally. The last line is one JSON object.
  */
 import { setTimeout as pause } from 'node:timers/promises'
 import { parseArgs } from 'node:util'
--- a/packages/bench/src/proxyCost/bareRelay.ts
+++ b/packages/bench/src/proxyCost/bareRelay.ts
@@ -1,4 +1,7 @@
-/** The floor for one Node process: bytes from each caller to a connection of its own, and back. */
+/**
+ * Lower bound for the cost of a Node process: relays bytes between each caller and a backend
+ * connection of its own.
+ */
 import { connect } from 'node:net'
 import { listen } from '@nutmegcourse/transport'
 import { readProcessSettings, reportReady } from './processSettings.js'
--- a/packages/bench/src/proxyCost/costFixture.ts
+++ b/packages/bench/src/proxyCost/costFixture.ts
@@ -1,4 +1,7 @@
-/** The processes of one measurement: three lean backend servers, a bare relay, and the shipped proxy. */
+/**
+ * The processes of a proxy cost measurement: three minimal backend servers, a byte relay and the
+ * production proxy.
+ */
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -53,7 +56,7 @@
     return fixture
   }
 
-  /** Resident memory of the proxy, by its own word. */
+  /** Resident memory as reported by the proxy. */
   async proxyResidentBytes(): Promise<number> {
     const status = await this.#link?.request<{ readonly residentBytes: number }>(
       'proxy.status',
@@ -63,7 +66,7 @@
     return status?.isOk() === true ? status.value.residentBytes : Number.NaN
   }
 
-  /** The operating system's id of a process of the scene. */
+  /** The operating system's id of a process of the fixture. */
   processId(id: 'primary' | 'relay' | 'proxy'): number {
     return this.#processes.find(each => each.id === id)?.processId ?? 0
   }
--- a/packages/bench/src/proxyCost/leanBackend.ts
+++ b/packages/bench/src/proxyCost/leanBackend.ts
@@ -1,6 +1,7 @@
 /**
- * A backend server that costs next to nothing: every statement gets one row, every position question the
- * same position. What is measured in front of it is then the cost of what stands between.
+ * A backend server of minimal cost: answers every statement with the same row and every position
+ * query with the same position, so that measurements show the cost of the components in front of
+ * it.
  */
 import type { Socket } from 'node:net'
 import {
--- a/packages/bench/src/proxyCost/loadGenerator.ts
+++ b/packages/bench/src/proxyCost/loadGenerator.ts
@@ -1,4 +1,4 @@
-/** Callers in a closed loop over raw sockets: cheap enough not to be what is measured. */
+/** Closed-loop callers over raw sockets, cheap enough not to limit the measurement. */
 import { setTimeout as pause } from 'node:timers/promises'
 import { connect, type Socket } from 'node:net'
 import { once } from 'node:events'
@@ -17,12 +17,14 @@
   readonly p50Microseconds: number
   readonly p99Microseconds: number
   readonly errors: number
-  /** Processor time of the measured process for one request; not told by wall-clock contention. */
+  /**
+   * Processor time of the measured process per request; unaffected by contention for the processor.
+   */
   readonly processorMicroseconds: number
 }
 
 export interface LoadPlan {
-  /** The process that is measured. */
+  /** The measured process. */
   readonly processId: number
   readonly port: number
   readonly callers: number
@@ -30,7 +32,7 @@
   readonly className: string
 }
 
-/** Opens connections that are past their startup. */
+/** Opens connections and completes their startup. */
 export async function openCallers(
   port: number,
   count: number,
@@ -45,7 +47,7 @@
     socket.write(startup)
     sockets.push(socket)
     const chunk = ((await once(socket, 'data')) as [Buffer])[0]
-    if (!endsWithReady(chunk)) throw new Error(`no greeting: ${chunk.toString('latin1')}`)
+    if (!endsWithReady(chunk)) throw new Error(`startup failed: ${chunk.toString('latin1')}`)
   }
   return sockets
 }
@@ -53,7 +55,7 @@
 const endsWithReady = (chunk: Buffer): boolean =>
   chunk.length >= READY_BYTES && chunk[chunk.length - READY_BYTES] === ServerMessage.readyForQuery
 
-/** Keeps every caller busy; what happens while connections open and code warms up is not counted. */
+/** Keeps every caller busy. Requests while connections open and code warms up are not counted. */
 export async function runLoad(plan: LoadPlan): Promise<LoadResult> {
   const sockets = await openCallers(plan.port, plan.callers, plan.className)
   const load = new RunningLoad(sockets)
@@ -75,7 +77,7 @@
   }
 }
 
-/** Each caller sends its next request as soon as it has the answer to the last. */
+/** Each caller sends its next request as soon as the previous one is answered. */
 class RunningLoad {
   readonly #histogram = build({
     highestTrackableValue: 60_000_000,
--- a/packages/bench/src/proxyCost/processSettings.ts
+++ b/packages/bench/src/proxyCost/processSettings.ts
@@ -1,4 +1,6 @@
-/** What the helper processes of the measurement are told: `--settings FILE`, as the shipped ones are. */
+/**
+ * Settings of the measurement's helper processes: `--settings FILE`, as in the production programs.
+ */
 import { readFileSync } from 'node:fs'
 import { parseArgs } from 'node:util'
 import { parse } from 'yaml'
--- a/packages/bench/src/proxyCost/processorTime.ts
+++ b/packages/bench/src/proxyCost/processorTime.ts
@@ -1,12 +1,12 @@
-/** Processor time of another process of this machine, as Linux counts it. */
+/** Reads the processor time of another process from Linux's /proc. */
 import { readFileSync } from 'node:fs'
 
-/** Fields of /proc/PID/stat behind the name, counted from the state. */
+/** Indexes of fields in /proc/PID/stat after the process name, starting with 0 for the state. */
 const USER_FIELD = 11
 const SYSTEM_FIELD = 12
 const MICROSECONDS_A_TICK = 10_000
 
-/** User and system time so far, in microseconds. */
+/** Accumulated user and system time in microseconds. */
 export function processorMicroseconds(processId: number): number {
   const stat = readFileSync(`/proc/${processId}/stat`, 'latin1')
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ')
--- a/packages/bench/src/routing.ts
+++ b/packages/bench/src/routing.ts
@@ -1,9 +1,9 @@
 /**
- * Measures the proxy's decision core alone, in one process and one core of the machine:
- * routing decisions per second, the share of reads that replicas serve against their lag, and the
- * ways to know what a session wrote. Prints a table of each and ends with one JSON object.
+ * Measures the proxy's decision core in isolation, in one process on one processor core: routing
+ * decisions per second, the share of reads served by replicas depending on their lag, and the
+ * methods of tracking a session's writes. Prints a table of each; the last line is one JSON object.
  *
- * Run by `node packages/bench/dist/src/routing.js [--seconds N]`.
+ * Run with `node packages/bench/dist/src/routing.js [--seconds N]`.
  */
 import { parseArgs } from 'node:util'
 import { measureDecisions } from './routing/decisions.js'
--- a/packages/bench/src/routing/benchCore.ts
+++ b/packages/bench/src/routing/benchCore.ts
@@ -1,4 +1,4 @@
-/** A core in front of one three-server database, fed by hand. */
+/** A proxy core in front of one database with three servers, driven by explicit messages. */
 import {
   SeededRandom,
   VirtualClock,
@@ -19,7 +19,7 @@
 export const BENCH_DATABASE = databaseId('berths')
 export const BENCH_SERVERS = ['a', 'b', 'c'] as const
 export type BenchServer = (typeof BENCH_SERVERS)[number]
-/** Enough that no decision waits for a connection. */
+/** High enough that no decision waits for a connection. */
 const CONNECTION_LIMIT = 500
 
 function listedServer(name: BenchServer): ListedBackendServer {
@@ -60,7 +60,10 @@
   }
 }
 
-/** In the primary's zone, in a region with two servers, or beside the one server of the other. */
+/**
+ * The proxy's location: `near` is the primary's zone, in a region with two servers; `far` is the
+ * zone of the only server in the other region.
+ */
 export type BenchPlace = 'near' | 'far'
 
 const PLACES = {
@@ -74,7 +77,7 @@
   readonly #classes: readonly ClassTargets[]
   readonly #onEffects: ((effects: readonly ProxyEffect[]) => void) | null
 
-  /** Without `onEffects` every connection opens at once. */
+  /** Without `onEffects`, every connection opens immediately. */
   constructor(
     classes: readonly ClassTargets[],
     place: BenchPlace = 'near',
@@ -85,7 +88,7 @@
     this.core = new ProxyCore(PLACES[place], new SeededRandom(1))
   }
 
-  /** Gives the core its first snapshot. */
+  /** Sends the core its first snapshot. */
   start(): void {
     const targets = { service: 'bench', classes: this.#classes, defaults: [] }
     const effects = this.send({
--- a/packages/bench/src/routing/decisions.ts
+++ b/packages/bench/src/routing/decisions.ts
@@ -1,13 +1,13 @@
-/** Decisions per second of one core that is never short of connections. */
+/** Measures decisions per second of one core that always has connections available. */
 import { className, requestId, sessionId } from '@nutmegcourse/shared'
 import type { ProxyMessage } from '@nutmegcourse/state'
 import { BENCH_DATABASE, BENCH_SERVERS, BenchCore, benchClass } from './benchCore.js'
 
 export interface DecisionRate {
   readonly what: string
-  /** Messages that place a request: its arrival, up to the `run` effect. */
+  /** Rate of placing requests, from their arrival to the `run` effect. */
   readonly decisionsPerSecond: number
-  /** The same with the message that the request ran, which frees its connection. */
+  /** Rate including the message that the request has run, which frees its connection. */
   readonly requestsPerSecond: number
 }
 
@@ -16,7 +16,7 @@
   benchClass('primary_read', {}),
   benchClass('assign', { access: 'write', idempotent: false }),
 ]
-/** Requests between two looks at the real clock. */
+/** Requests between two readings of the real clock. */
 const BATCH = 2000
 
 export function measureDecisions(seconds: number): readonly DecisionRate[] {
@@ -42,7 +42,7 @@
 class RateRun {
   readonly #bench: BenchCore
   readonly #writes: boolean
-  /** Made beforehand: the shell's cost of making a message is not the core's. */
+  /** Created in advance, so that the cost of creating messages is not attributed to the core. */
   readonly #arrivals: readonly ProxyMessage[]
   #offset = 1
   #requests = 0
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Places as many requests as there are connections, then lets them run; over and over. */
+  /** Repeatedly places a group of requests and then completes all of them. */
   batch(): void {
     const group = 50
     for (let start = 0; start < BATCH; start += group) {
@@ -101,7 +101,7 @@
     return placed
   }
 
-  /** The first requests of a run open the connections that later ones find. */
+  /** The first requests of a run open the connections that later ones use. */
   #warmUp(): void {
     this.#bench.clock.advance(1)
   }
--- a/packages/bench/src/routing/sessionTracking.ts
+++ b/packages/bench/src/routing/sessionTracking.ts
@@ -1,4 +1,6 @@
-/** The ways to know what a session wrote elsewhere, compared under one load. */
+/**
+ * Compares the methods of tracking what a session wrote through other proxies, under the same load.
+ */
 import { benchClass, type BenchPlace } from './benchCore.js'
 import { VirtualLoad, type LoadOutcome, type SessionTracking } from './virtualLoad.js'
 
@@ -11,7 +13,7 @@
 const WAYS: readonly SessionTracking[] = ['token', 'holder', 'boundPerArrival']
 const PLACES: readonly BenchPlace[] = ['near', 'far']
 const RATES = [2, 200]
-/** Replicas that keep up: in the primary's region, and past the link. */
+/** Lag of replicas that keep up, in the primary's region and in the other region. */
 const NEAR_LAG_MILLISECONDS = 2
 const FAR_LAG_MILLISECONDS = 25
 
--- a/packages/bench/src/routing/shareAgainstLag.ts
+++ b/packages/bench/src/routing/shareAgainstLag.ts
@@ -1,4 +1,4 @@
-/** The share of reads that replicas serve, against how far they lag. */
+/** Measures the share of reads served by replicas depending on their lag. */
 import { benchClass } from './benchCore.js'
 import { VirtualLoad, type LoadOutcome } from './virtualLoad.js'
 
@@ -19,7 +19,7 @@
   { way: 'everything acknowledged', sessions: 'token', freshnessMilliseconds: 0 },
 ] as const
 
-/** The near replica alone lags, then both do. */
+/** First only the near replica lags, then both replicas do. */
 const LAGS = [
   ...LAGS_MILLISECONDS.map(near => ({ near, far: USUAL_FAR_LAG_MILLISECONDS })),
   ...LAGS_MILLISECONDS.filter(lag => lag > USUAL_FAR_LAG_MILLISECONDS).map(lag => ({
--- a/packages/bench/src/routing/virtualLoad.ts
+++ b/packages/bench/src/routing/virtualLoad.ts
@@ -1,4 +1,4 @@
-/** One proxy's core under a steady load in virtual time, with servers that lag by a fixed span. */
+/** Simulates one proxy core under constant load in virtual time, with replicas of a fixed lag. */
 import TinyQueue from 'tinyqueue'
 import { SeededRandom, assertNever, requestId, sessionId, className } from '@nutmegcourse/shared'
 import type { ClassTargets } from '@nutmegcourse/protocol'
@@ -11,20 +11,22 @@
   type BenchServer,
 } from './benchCore.js'
 
-/** How a proxy learns what a session has written, wherever it wrote. */
+/** How a proxy learns what a session has written through any proxy. */
 export type SessionTracking =
-  /** The caller brings its last position along. */
+  /** The caller sends its last position with the request. */
   | 'token'
-  /** One entry host, by the session's hash, keeps it: a round trip before each read. */
+  /**
+   * An entry host chosen by the session's hash keeps it, which costs a round trip before each read.
+   */
   | 'holder'
-  /** A majority's positions, asked after each read arrived. */
+  /** The positions of a majority, queried after each read arrives. */
   | 'boundPerArrival'
 
 export interface LoadShape {
   readonly place: BenchPlace
   readonly classTargets: ClassTargets
   readonly sessions: SessionTracking
-  /** How far the replica of the primary's region, and the other one, trail the primary. */
+  /** Replication lag of the replica in the primary's region, and of the one in the other region. */
   readonly nearLagMilliseconds: number
   readonly farLagMilliseconds: number
   readonly readsPerSecond: number
@@ -37,13 +39,13 @@
   readonly latencyP50: number
   readonly latencyP99: number
   readonly refused: number
-  /** Messages over the link between regions for each read, with those of positions and of reads. */
+  /** Messages between regions per read, including position queries and the reads themselves. */
   readonly linkMessagesPerRead: number
 }
 
 const WRITE_CLASS = 'assign'
 const SERVICE_MILLISECONDS = 0.5
-/** One-way, as in the Atlas Quai deployment. */
+/** One-way delays of the Atlas Quai deployment. */
 const IN_ZONE_MILLISECONDS = 0.1
 const BETWEEN_ZONES_MILLISECONDS = 1.5
 const BETWEEN_REGIONS_MILLISECONDS = 20
@@ -128,7 +130,7 @@
     const id = `${kind}-${this.#order}`
     this.#arrivedAt.set(id, this.#now())
     const workClass = kind === 'read' ? this.#shape.classTargets.name : className(WRITE_CLASS)
-    // Sixteen sessions: a read mostly follows some other session's write.
+    // With 16 sessions, the last write before a read is mostly from another session.
     const session = sessionId(`s${Math.floor(this.#random.next() * 16)}`)
     const { sessions } = this.#shape
     const send = (): void => {
@@ -145,7 +147,7 @@
     else send()
   }
 
-  /** Holders are spread evenly over the zones, as entry hosts are. */
+  /** Holders are distributed evenly over the zones, like entry hosts. */
   #queryHolder(then: () => void): void {
     const zone = BENCH_SERVERS[Math.floor(this.#random.next() * BENCH_SERVERS.length)] ?? 'a'
     this.#schedule(2 * this.#delayTo(zone), then)
@@ -211,7 +213,7 @@
     if (server !== 'a') this.#replicaReads += 1
   }
 
-  /** How many writes the server holds: a replica, those older than its lag. */
+  /** Number of writes that the server has; a replica has those older than its lag. */
   #offsetOf(server: BenchServer): number {
     if (server === 'a') return this.#commits.length
     const { nearLagMilliseconds, farLagMilliseconds } = this.#shape
--- a/packages/bench/src/soak.ts
+++ b/packages/bench/src/soak.ts
@@ -1,9 +1,11 @@
 /**
- * Random faults, several at once, on a whole deployment under load; then judges what callers saw.
+ * Injects random faults, several at once, into a whole deployment under load, and then checks the
+ * answers that callers received.
  * `node packages/bench/dist/src/soak.js --seconds 30 --seed 1 [--databases 1]
  *   [--deployment atlas-quai|shutterbaithak] [--faults 2]
  *   [--pace 3000] [--keep-logs DIRECTORY]`.
- * The last line is one JSON object. Exit code 1: a promise was broken or writes did not come back.
+ * The last line is one JSON object. The exit code is 1 if a guarantee was broken or writes did not
+ * recover.
  */
 import { cpSync } from 'node:fs'
 import { setTimeout as delay } from 'node:timers/promises'
@@ -25,9 +27,9 @@
     seconds: { type: 'string', default: '30' },
     seed: { type: 'string', default: '1' },
     databases: { type: 'string', default: '1' },
-    /** Faults at a time. */
+    /** Maximum number of concurrent faults. */
     faults: { type: 'string', default: '2' },
-    /** Longest time between two steps, in milliseconds. */
+    /** Maximum time between two steps, in milliseconds. */
     pace: { type: 'string', default: '3000' },
     deployment: { type: 'string', default: 'atlas-quai' },
     /** Copies settings, data and logs of every process to this directory. */
@@ -61,7 +63,7 @@
 }
 
 await injectFaults(Number(values.seconds) * 1000)
-const recovered = await writesRecover()
+const recovered = await waitForRecovery()
 const operations = await load.stop()
 const checkResult = checkHistory(operations, await readFinalContents(deployment))
 const keep = values['keep-logs']
@@ -97,14 +99,14 @@
   log(`healed: ${fault.name}`)
 }
 
-/** Whether every database takes writes again, and how soon. */
-async function writesRecover(): Promise<boolean> {
+/** Waits until every database accepts writes again and logs how long that took. */
+async function waitForRecovery(): Promise<boolean> {
   const healed = load.now()
   const missing = (): readonly string[] =>
     deployment.plan.databases.map(each => each.id).filter(id => !acknowledgedSince(id, healed))
   while (missing().length > 0) {
     if (load.now() - healed > RECOVERY_MILLISECONDS) {
-      log(`no writes succeed on ${missing().join(', ')}`)
+      log(`writes did not recover on ${missing().join(', ')}`)
       return false
     }
     await delay(20)
--- a/packages/bench/src/soak/faults.ts
+++ b/packages/bench/src/soak/faults.ts
@@ -1,4 +1,4 @@
-/** The faults of a soak: each begins, lasts and is healed. */
+/** The faults of a soak run. Each is injected and later healed. */
 import type { RandomSource } from '@nutmegcourse/shared'
 import { pick } from '@nutmegcourse/stand-ins'
 import { agentProcessId, proxyProcessId, type Deployment } from '../deployment/deployment.js'
@@ -92,7 +92,7 @@
   (deployment, random) => {
     const { servers } = pick(deployment.plan.databases, random)
     const server = pick(servers, random)
-    // A server that is down or frozen at the time needs no pause and can take no order.
+    // Errors are ignored: a server that is down or frozen cannot be reached and replicates nothing.
     const order = (paused: boolean): Promise<void> =>
       pauseReplication(server, paused).catch(() => undefined)
     return {
--- a/packages/bench/src/statistics.ts
+++ b/packages/bench/src/statistics.ts
@@ -1,4 +1,4 @@
-/** Medians and spreads of a few measured values. */
+/** Median and range of a set of measured values. */
 
 export interface Spread {
   readonly median: number
@@ -7,7 +7,7 @@
   readonly count: number
 }
 
-/** Null when nothing was measured. */
+/** Returns null if there are no values. */
 export function spreadOf(values: readonly number[]): Spread | null {
   const sorted = [...values].sort((left, right) => left - right)
   const [least] = sorted
--- a/packages/bench/src/watcherPlacement.ts
+++ b/packages/bench/src/watcherPlacement.ts
@@ -1,6 +1,7 @@
 /**
- * `node packages/bench/dist/src/watcherPlacement.js`: how many databases each host watches, and how
- * that moves when a host, a rack or a zone goes. The last line is one JSON object.
+ * `node packages/bench/dist/src/watcherPlacement.js`: measures how many databases each host
+ * watches, and how many watches move when a host, a rack or a zone fails. The last line is one JSON
+ * object.
  */
 import { WatcherPlan, type HostLocation } from '@nutmegcourse/coordination'
 import { databaseId } from '@nutmegcourse/shared'
@@ -52,7 +53,7 @@
   return [...counts.values()].sort((left, right) => left - right)
 }
 
-/** Watches that a remaining host takes on anew. */
+/** Number of watches that move to a host which did not have them before. */
 function movedBetween(before: Assignment, after: Assignment): number {
   let moved = 0
   for (const [database, watchers] of after) {
--- a/packages/bench/src/workload/callerLoad.ts
+++ b/packages/bench/src/workload/callerLoad.ts
@@ -1,4 +1,7 @@
-/** Callers that write and read through all proxies of a deployment until they are told to stop. */
+/**
+ * Generates load through all proxies of a deployment until it is stopped, and records each
+ * operation.
+ */
 import { setTimeout as delay } from 'node:timers/promises'
 import {
   SeededRandom,
@@ -16,21 +19,25 @@
 
 export interface CallerLoadOptions {
   readonly sessionsPerDatabase: number
-  /** Pause of a session between two requests. */
+  /** Pause between two requests of a session. */
   readonly thinkMilliseconds: number
   readonly seed: number
   readonly writeClass: string
   readonly readClass: string
-  /** Sends a write this often whatever became of the last ones; absent: not at all. */
+  /**
+   * Interval of probe writes, sent whether or not earlier ones were answered. Absent: no probes.
+   */
   readonly probeMilliseconds?: number
-  /** Tells one load's records from another's. */
+  /** Prefix of the session ids, which distinguishes the records of several loads. */
   readonly name?: string
 }
 
 const CONNECT_TIMEOUT_MILLISECONDS = 3000
 const PAUSE_AFTER_REFUSAL_MILLISECONDS = 50
 const MAX_PAUSE_MILLISECONDS = 500
-/** Requests still unanswered this long after the stop are given up as unknown. */
+/**
+ * Requests that are unanswered this long after the stop are abandoned; their outcome is unknown.
+ */
 const STOP_TIMEOUT_MILLISECONDS = 10_000
 const EVENT_SHARE = 0.4
 const COUNTER_SHARE = 0.3
@@ -48,8 +55,8 @@
   }
 
   /**
-   * Half of the sessions are open at every proxy at once and pick one for each request; the others
-   * stay with one proxy each.
+   * Half of the sessions connect to all proxies and pick one for each request; the others use a
+   * single proxy each.
    */
   static start(deployment: Deployment, options: CallerLoadOptions): CallerLoad {
     const load = new CallerLoad(options)
@@ -60,8 +67,8 @@
     let seed = options.seed
     for (const database of deployment.plan.databases) {
       for (let index = 0; index < options.sessionsPerDatabase; index += 1) {
-        const home = proxies.filter((_, at) => at === index % proxies.length)
-        const used = index % 2 === 0 ? proxies : home
+        const fixedProxy = proxies.filter((_, at) => at === index % proxies.length)
+        const used = index % 2 === 0 ? proxies : fixedProxy
         load.#startSession(database, `${options.name ?? 'session'}-${index}`, used, seed)
         seed += 1
       }
@@ -103,7 +110,7 @@
     this.#loops.push(this.#run(caller, random))
   }
 
-  /** A probe that waits for its answer holds up no other: they show when writes succeed again. */
+  /** Probes do not wait for each other, so that they show when writes succeed again. */
   #startProbe(database: PlannedDatabase, proxies: readonly ProxyAddress[]): void {
     const interval = this.#options.probeMilliseconds
     if (interval === undefined) return
--- a/packages/bench/src/workload/classifyAnswer.ts
+++ b/packages/bench/src/workload/classifyAnswer.ts
@@ -1,4 +1,4 @@
-/** Reads a `pg` client's error the way a caller would: ran, did not run, or can not tell. */
+/** Classifies an error of the `pg` client as a caller would: not run, or outcome unknown. */
 import { REASONS, type Reason } from '@nutmegcourse/shared'
 import type { Outcome } from './operation.js'
 
@@ -26,7 +26,7 @@
   }
 }
 
-/** Errors that a server sent carry a five-letter SQLSTATE; those of the socket do not. */
+/** Errors sent by a server carry a five-character SQLSTATE; socket errors do not. */
 function isServerError(error: unknown): error is ServerError {
   if (!(error instanceof Error) || !('code' in error)) return false
   return typeof error.code === 'string' && /^[0-9A-Z]{5}$/.test(error.code)
--- a/packages/bench/src/workload/finalContents.ts
+++ b/packages/bench/src/workload/finalContents.ts
@@ -1,4 +1,4 @@
-/** Reads back what the databases of a deployment hold once all callers have stopped. */
+/** Reads the contents of a deployment's databases after all callers have stopped. */
 import { sessionId } from '@nutmegcourse/shared'
 import type { Deployment } from '../deployment/deployment.js'
 import type { FinalContents } from './history.js'
--- a/packages/bench/src/workload/history.ts
+++ b/packages/bench/src/workload/history.ts
@@ -1,29 +1,29 @@
 /**
- * Judges what callers were told against what the databases hold in the end.
- * It trusts nothing that the fleet says of itself.
+ * Checks the answers that callers received against the final contents of the databases. Uses
+ * nothing that the fleet reports about itself.
  */
 import type { Milliseconds, SessionId } from '@nutmegcourse/shared'
 import type { CounterRead, CounterWrite, Operation, WriteId } from './operation.js'
 
-/** The contents of one database's surviving log, as read after all callers stopped. */
+/** Contents of one database's surviving log, read after all callers have stopped. */
 export interface FinalContents {
-  /** Every stored event id, as often as it is stored. */
+  /** Ids of all stored events, repeated if stored more than once. */
   readonly events: readonly string[]
   readonly counters: ReadonlyMap<SessionId, number>
 }
 
 export interface HistoryCheckResult {
   readonly acknowledged: number
-  /** Acknowledged, yet not there in the end. */
+  /** Acknowledged, but missing from the final contents. */
   readonly lost: readonly string[]
-  /** There more than once. */
+  /** Stored more than once. */
   readonly doubled: readonly string[]
-  /** Refused as not run, yet there. */
+  /** Refused as not run, but stored. */
   readonly ranThoughRefused: readonly string[]
-  /** Reads that missed a write acknowledged to their own session before they began. */
+  /** Reads that missed a write acknowledged to the same session before the read started. */
   readonly staleReads: readonly CounterRead[]
   readonly unknown: number
-  /** Counts of answers other than acknowledgements, by reason. */
+  /** Number of operations that were not acknowledged, by reason. */
   readonly refusals: ReadonlyMap<string, number>
 }
 
@@ -60,7 +60,7 @@
   return counts
 }
 
-/** A counter only rises, so that an end below an acknowledged value means a lost write. */
+/** Counters only increase, so a final value below an acknowledged one means a lost write. */
 function findLostCounters(
   operations: readonly Operation[],
   finals: ReadonlyMap<string, FinalContents>,
--- a/packages/bench/src/workload/operation.ts
+++ b/packages/bench/src/workload/operation.ts
@@ -1,12 +1,12 @@
-/** What one caller did and was told. Times are of the load process's own clock. */
+/** Operations of callers and their outcomes. All times are from the load process's clock. */
 import type { Brand, Milliseconds, SessionId } from '@nutmegcourse/shared'
 
-/** Marks one write for good: it is stored with it, so that a doubled write shows. */
+/** Unique id of a write, stored with it, so that a write that ran twice is detected. */
 export type WriteId = Brand<string, 'WriteId'>
 
 export const writeId = (value: string): WriteId => value as WriteId
 
-/** What a caller may conclude of its request from the answer alone. */
+/** What a caller can conclude about its request from the answer alone. */
 export type Outcome =
   | { readonly kind: 'acknowledged' }
   | {
@@ -25,23 +25,23 @@
   readonly outcome: Outcome
 }
 
-/** Inserts one record that nothing else ever changes. */
+/** Inserts one record that is never changed afterwards. */
 export interface EventWrite extends OperationBase {
   readonly kind: 'eventWrite'
   readonly id: WriteId
 }
 
-/** Raises the session's own counter to `value`; one at a time in each session. */
+/** Raises the session's counter to `value`. A session runs one such write at a time. */
 export interface CounterWrite extends OperationBase {
   readonly kind: 'counterWrite'
   readonly value: number
 }
 
-/** Reads the session's own counter. `value` is null when no row was found. */
+/** Reads the session's counter. `value` is null if no row was found. */
 export interface CounterRead extends OperationBase {
   readonly kind: 'counterRead'
   readonly value: number | null
-  /** Which kind of backend server answered, by its own word; null when no row was found. */
+  /** Role that the answering backend server reported; null if no row was found. */
   readonly servedBy: 'primary' | 'replica' | null
 }
 
--- a/packages/bench/src/workload/probePool.ts
+++ b/packages/bench/src/workload/probePool.ts
@@ -1,7 +1,7 @@
-/** Callers that wait for their turn to probe one proxy. */
+/** Pool of callers that probe one proxy. */
 import type { SessionCaller } from './sessionCaller.js'
 
-/** Probes that hang longer than this many intervals leave the proxy without new ones. */
+/** No new probe is sent to the proxy while this many are unanswered. */
 const MAX_CALLERS = 60
 
 export class ProbePool {
@@ -13,7 +13,7 @@
     this.#make = make
   }
 
-  /** Null when too many are under way. */
+  /** Returns null if too many callers are in use. */
   acquire(): SessionCaller | null {
     const idle = this.#idle.pop()
     if (idle !== undefined) return idle
--- a/packages/bench/src/workload/sessionCaller.ts
+++ b/packages/bench/src/workload/sessionCaller.ts
@@ -1,4 +1,6 @@
-/** One session of one caller, open at several proxies at once, driven through unmodified `pg`. */
+/**
+ * One session of a caller, connected to several proxies at once with the unmodified `pg` client.
+ */
 import pg from 'pg'
 import {
   milliseconds,
@@ -25,8 +27,8 @@
 
 const INSERT_EVENT = 'INSERT INTO events (id, value) VALUES ($1, $2)'
 /**
- * Only ever raises: a write of unknown outcome may still be on its way through a partition and land
- * after a later write of its session. That is no lost write, and must not look like one.
+ * Only raises the value: a write of unknown outcome may be delayed by a partition and run after a
+ * later write of its session. Overwriting the later value would look like a lost write.
  */
 const RAISE_COUNTER =
   'INSERT INTO entries (key, value) VALUES ($1, $2) ON CONFLICT (key) DO UPDATE SET value = EXCLUDED.value WHERE entries.value::bigint < EXCLUDED.value::bigint'
@@ -118,7 +120,7 @@
   #pickProxy(): ProxyAddress {
     const { proxies } = this.#options
     const proxy = proxies[Math.floor(this.#random.next() * proxies.length)]
-    if (proxy === undefined) throw new Error('no proxies to call')
+    if (proxy === undefined) throw new Error('no proxies are configured')
     return proxy
   }
 
@@ -143,7 +145,7 @@
   }
 }
 
-/** No statement was sent on a connection that never stood. */
+/** A connection that was never established cannot have sent a statement. */
 function classifyConnectError(error: unknown): Outcome {
   const described = classifyError(error)
   if (described.kind === 'notRun') return described
--- a/packages/bench/src/workload/writeGap.ts
+++ b/packages/bench/src/workload/writeGap.ts
@@ -1,10 +1,10 @@
-/** How long writes did not succeed, as callers saw it. */
+/** Measures how long writes did not succeed, as seen by callers. */
 import type { Milliseconds } from '@nutmegcourse/shared'
 import type { Operation } from './operation.js'
 
 /**
- * The longest time between two acknowledgements of writes that follow each other, of which the
- * second came after `from`. It does not depend on when exactly the fault struck. Milliseconds.
+ * The longest time in milliseconds between two consecutive acknowledgements of writes, the second
+ * of which came after `from`. Independent of the exact time of the fault.
  */
 export function longestWriteGap(
   operations: readonly Operation[],
