--- a/packages/bench/__tests__/agents.spec.ts
+++ b/packages/bench/__tests__/agents.spec.ts
@@ -56,8 +56,8 @@
     await running.setStoreOutage(true)
     running.killServer(0)
     await waitUntilTrue(() => {
-      const leaders = new Set(running.agents.map(agent => agent.primary))
-      return leaders.size === 1 && !leaders.has('quai-0') && !leaders.has(null)
+      const primaries = new Set(running.agents.map(agent => agent.primary))
+      return primaries.size === 1 && !primaries.has('quai-0') && !primaries.has(null)
     })
   })
 
@@ -69,10 +69,10 @@
     running.killServer(0)
     const others = running.agents.slice(0, 2)
     await waitUntilTrue(() => others.every(agent => isNewPrimary(agent.primary)))
-    const led = others[0]?.primary ?? null
+    const newPrimary = others[0]?.primary ?? null
     running.agent(2).process.signal('SIGCONT')
-    await waitUntilTrue(() => running.agent(2).primary === led)
-    expect(others.map(agent => agent.primary)).toEqual([led, led])
+    await waitUntilTrue(() => running.agent(2).primary === newPrimary)
+    expect(others.map(agent => agent.primary)).toEqual([newPrimary, newPrimary])
   })
 
   it('take a drained backend server out of use and move the primary off it', async () => {
--- a/packages/bench/__tests__/failures/scenario.ts
+++ b/packages/bench/__tests__/failures/scenario.ts
@@ -189,13 +189,13 @@
 }
 
 /** These figures are printed, not asserted, because they depend on the machine. */
-function report(fixture: ScenarioFixture, result: HistoryCheckResult, silence: number): void {
+function report(fixture: ScenarioFixture, result: HistoryCheckResult, writeGap: number): void {
   const { acknowledged, unknown, refusals } = result
   const figures = {
     acknowledged,
     unknown,
     refusals: Object.fromEntries(refusals),
-    longestWriteSilenceMilliseconds: Math.round(silence),
+    longestWriteSilenceMilliseconds: Math.round(writeGap),
   }
   process.stdout.write(`${fixture.database.id}: ${JSON.stringify(figures)}\n`)
 }
--- a/packages/bench/src/fleet/measureAgent.ts
+++ b/packages/bench/src/fleet/measureAgent.ts
@@ -96,7 +96,7 @@
     this.#size = size
     this.#options = options
     this.locations = hostLocations(size)
-    this.peers = new FakePeers(this.locations, this.self.entryHost, new SeededRandom(SEED))
+    this.peers = new FakePeers(this.locations, this.measuredHost.entryHost, new SeededRandom(SEED))
   }
 
   /** When the agent's process was started. */
@@ -104,7 +104,7 @@
     return this.#startedAt
   }
 
-  get self(): HostLocation {
+  get measuredHost(): HostLocation {
     const [first] = this.locations
     if (first === undefined) throw new Error('the fleet has no hosts')
     return first
@@ -141,7 +141,11 @@
     )
     const dialers = this.peers.findDialers()
     this.#startedAt = performance.now()
-    const agent = await AgentProcess.start(this.self, await store.start(), await hostList.start())
+    const agent = await AgentProcess.start(
+      this.measuredHost,
+      await store.start(),
+      await hostList.start(),
+    )
     await this.peers.dial(dialers, agent.ports.listen)
     await this.#subscribe(agent)
     return agent
@@ -165,7 +169,7 @@
     for (let index = 0; index < this.#size.databases; index += 1) {
       const servers = serversOf(index, this.#size, UNUSED_PORT)
       const watchers = plan.watchersOf(databaseId(`db-${index}`), servers)
-      const isWatched = watchers.some(watcher => watcher.entryHost === this.self.entryHost)
+      const isWatched = watchers.some(watcher => watcher.entryHost === this.measuredHost.entryHost)
       if (isWatched) this.#addOpinions(watchers, servers)
       listed.push(...(isWatched ? await this.#runServers(servers) : servers))
     }
@@ -176,7 +180,7 @@
     const [primary] = servers
     if (primary === undefined) return
     for (const { entryHost, zone, region } of watchers) {
-      if (entryHost === this.self.entryHost) continue
+      if (entryHost === this.measuredHost.entryHost) continue
       const { database, id: about } = primary
       const view = { about, term: term(1), suspected: false, sequence: 1 }
       this.peers.addOpinion({ database, watcher: entryHost, zone, region, ...view })
@@ -225,9 +229,9 @@
         document: targetsOf(change),
       })),
       memberChange: await measureEventCost(agent, environment, quiet, change => {
-        const location = environment.locations[change % size.hosts] ?? environment.self
+        const location = environment.locations[change % size.hosts] ?? environment.measuredHost
         const other =
-          location === environment.self ? (environment.locations[1] ?? location) : location
+          location === environment.measuredHost ? (environment.locations[1] ?? location) : location
         return { kind: 'member', member: memberOf(other, UNUSED_PORT, change) }
       }),
       groupChange: await measureEventCost(agent, environment, quiet, change => ({
--- a/packages/bench/src/routing/sessionTracking.ts
+++ b/packages/bench/src/routing/sessionTracking.ts
@@ -10,7 +10,7 @@
   readonly readsPerSecond: number
 }
 
-const WAYS: readonly SessionTracking[] = ['token', 'holder', 'boundPerArrival']
+const METHODS: readonly SessionTracking[] = ['token', 'holder', 'boundPerArrival']
 const PLACES: readonly BenchPlace[] = ['near', 'far']
 const RATES = [2, 200]
 /** Lag of replicas that keep up, in the primary's region and in the other region. */
@@ -20,7 +20,7 @@
 export function measureSessionTracking(): readonly SessionTrackingRow[] {
   return PLACES.flatMap(place =>
     RATES.flatMap(readsPerSecond =>
-      WAYS.map(sessions => {
+      METHODS.map(sessions => {
         const outcome = new VirtualLoad({
           place,
           classTargets: benchClass('browse', { replicaReadShare: 0.9 }),
--- a/packages/bench/src/soak.ts
+++ b/packages/bench/src/soak.ts
@@ -66,8 +66,8 @@
 const recovered = await waitForRecovery()
 const operations = await load.stop()
 const checkResult = checkHistory(operations, await readFinalContents(deployment))
-const keep = values['keep-logs']
-if (keep !== undefined) cpSync(deployment.directory, keep, { recursive: true })
+const logDirectory = values['keep-logs']
+if (logDirectory !== undefined) cpSync(deployment.directory, logDirectory, { recursive: true })
 await deployment.stop()
 process.stdout.write(`${JSON.stringify(summarize(checkResult))}\n`)
 process.exitCode = recovered && isClean(checkResult) ? 0 : 1
--- a/packages/bench/src/workload/writeGap.ts
+++ b/packages/bench/src/workload/writeGap.ts
@@ -16,6 +16,6 @@
     .filter(operation => operation.outcome.kind === 'acknowledged')
     .map(operation => operation.endedAt)
     .sort((left, right) => left - right)
-  const silences = ends.slice(1).map((end, index) => (end > from ? end - (ends[index] ?? end) : 0))
-  return Math.max(0, ...silences)
+  const gaps = ends.slice(1).map((end, index) => (end > from ? end - (ends[index] ?? end) : 0))
+  return Math.max(0, ...gaps)
 }
