--- a/packages/bench/__tests__/failures/scenario.ts
+++ b/packages/bench/__tests__/failures/scenario.ts
@@ -1,4 +1,6 @@
-/** Runs a story of failures against a whole deployment under load, and judges what callers saw. */
+/**
+ * Runs failure scenarios against a whole deployment under load and checks the answers to callers.
+ */
 import { setTimeout as delay } from 'node:timers/promises'
 import { expect } from 'earl'
 import { POSITION_STATEMENT } from '@nutmegcourse/protocol'
@@ -14,9 +16,9 @@
 import type { PlannedDatabase, PlannedServer } from '../../src/deployment/plan.js'
 import { CallerLoad } from '../../src/workload/callerLoad.js'
 import { readFinalContents } from '../../src/workload/finalContents.js'
-import { judge, type Judgement } from '../../src/workload/history.js'
+import { checkHistory, type HistoryCheckResult } from '../../src/workload/history.js'
 import { SessionCaller } from '../../src/workload/sessionCaller.js'
-import { longestWriteSilence } from '../../src/workload/writeSilence.js'
+import { longestWriteGap } from '../../src/workload/writeGap.js'
 import { eventually } from '../eventually.js'
 
 const OPTIONS: DeploymentOptions = {
@@ -37,7 +39,7 @@
 const WARM_UP_ACKNOWLEDGEMENTS = 50
 const RECOVERY_MILLISECONDS = 15_000
 
-export class Scene {
+export class ScenarioFixture {
   readonly deployment: Deployment
   readonly load: CallerLoad
 
@@ -50,7 +52,7 @@
     return this.deployment.database(0)
   }
 
-  /** The server that leads in the beginning. */
+  /** The initial primary. */
   get primary(): PlannedServer {
     return this.server(0)
   }
@@ -61,7 +63,7 @@
     return found
   }
 
-  /** Reads and writes that one server runs within `span` milliseconds under load. */
+  /** Number of reads and writes that a server runs within `span` milliseconds under load. */
   async statementsDuring(server: PlannedServer, span: number): Promise<number> {
     const before = await countStatements(server)
     await delay(span)
@@ -77,8 +79,8 @@
     ).length
   }
 
-  /** Waits until writes that start from now on succeed. */
-  async writesSucceed(count = 30): Promise<void> {
+  /** Waits until `count` writes that start from now on have succeeded. */
+  async waitForWrites(count = 30): Promise<void> {
     const now = this.load.now()
     await eventually(async () => {
       await Promise.resolve()
@@ -86,8 +88,8 @@
     }, RECOVERY_MILLISECONDS)
   }
 
-  /** Waits until another server than `former` leads, by the store's record. */
-  async anotherLeads(former: PlannedServer): Promise<void> {
+  /** Waits until the group record in the store has a primary other than `former`. */
+  async waitForNewPrimary(former: PlannedServer): Promise<void> {
     await eventually(async () => {
       const record = await this.deployment.platform.groupRecord(this.database.id)
       expect(record.phase.kind).toEqual('stable')
@@ -95,16 +97,16 @@
     }, RECOVERY_MILLISECONDS)
   }
 
-  /** Waits until every server follows or leads in the newest term, while writes go on. */
-  async serversAgreeWhileWritten(): Promise<void> {
+  /** Waits until all servers are in the same term while writes continue. */
+  async waitForSameTerm(): Promise<void> {
     await eventually(async () => {
       const rows = await this.#positions()
       expect(new Set(rows.map(row => row[1])).size).toEqual(1)
     }, RECOVERY_MILLISECONDS)
   }
 
-  /** Waits until all servers hold the same log: whoever was left behind follows again. */
-  async serversAgree(): Promise<void> {
+  /** Waits until all servers have the same log, including those that had fallen behind. */
+  async waitForEqualLogs(): Promise<void> {
     await eventually(async () => {
       const rows = await this.#positions()
       const positions = rows.map(row => `${row[1] ?? ''}/${row[2] ?? ''}`)
@@ -122,37 +124,37 @@
 
 export interface Scenario {
   readonly options?: Partial<DeploymentOptions>
-  /** What fails. Returns once what failed is over or healed. */
-  readonly act: (scene: Scene) => Promise<void>
-  /** Beyond what always holds. */
-  readonly check?: (judgement: Judgement, scene: Scene) => void
-  /** Whether all servers must hold the same log in the end. */
-  readonly serversAgree?: boolean
+  /** Injects the failures. Resolves once they are over or healed. */
+  readonly act: (fixture: ScenarioFixture) => Promise<void>
+  /** Checks in addition to those of every scenario. */
+  readonly check?: (result: HistoryCheckResult, fixture: ScenarioFixture) => void
+  /** Whether all servers must have the same log in the end. Default: true. */
+  readonly requiresEqualLogs?: boolean
 }
 
-/** Everything that the fleet owes its callers, whatever failed. */
-export async function play(scenario: Scenario): Promise<void> {
+/** Runs a scenario and checks the guarantees that hold for callers whatever fails. */
+export async function runScenario(scenario: Scenario): Promise<void> {
   const deployment = await Deployment.start({ ...OPTIONS, ...scenario.options })
   try {
-    await everyProxyServes(deployment)
+    await waitUntilProxiesServe(deployment)
     const load = CallerLoad.start(deployment, LOAD)
-    await playUnderLoad(scenario, new Scene(deployment, load)).finally(() => load.stop())
+    await runUnderLoad(scenario, new ScenarioFixture(deployment, load)).finally(() => load.stop())
   } finally {
     await deployment.stop()
   }
 }
 
-async function playUnderLoad(scenario: Scenario, scene: Scene): Promise<void> {
-  const { deployment, load, database } = scene
-  await scene.writesSucceed(WARM_UP_ACKNOWLEDGEMENTS)
+async function runUnderLoad(scenario: Scenario, fixture: ScenarioFixture): Promise<void> {
+  const { deployment, load, database } = fixture
+  await fixture.waitForWrites(WARM_UP_ACKNOWLEDGEMENTS)
   const start = load.now()
-  await scenario.act(scene)
-  await scene.writesSucceed()
+  await scenario.act(fixture)
+  await fixture.waitForWrites()
   const operations = await load.stop()
-  if (scenario.serversAgree ?? true) await scene.serversAgree()
-  const judgement = judge(operations, await readFinalContents(deployment))
-  report(scene, judgement, longestWriteSilence(operations, database.id, start))
-  const { lost, doubled, ranThoughRefused, staleReads } = judgement
+  if (scenario.requiresEqualLogs ?? true) await fixture.waitForEqualLogs()
+  const result = checkHistory(operations, await readFinalContents(deployment))
+  report(fixture, result, longestWriteGap(operations, database.id, start))
+  const { lost, doubled, ranThoughRefused, staleReads } = result
   expect({ lost, doubled, ranThoughRefused, staleReads }).toEqual({
     lost: [],
     doubled: [],
@@ -162,11 +164,11 @@
   for (const server of database.servers) {
     expect((await countConnections(server)).refused).toEqual(0)
   }
-  scenario.check?.(judgement, scene)
+  scenario.check?.(result, fixture)
 }
 
-/** A proxy listens before it has the targets; what it refuses until then is no part of a story. */
-async function everyProxyServes(deployment: Deployment): Promise<void> {
+/** Proxies listen before they have the targets; refusals until then are not part of a scenario. */
+async function waitUntilProxiesServe(deployment: Deployment): Promise<void> {
   for (const { proxyPort } of deployment.plan.entryHosts) {
     const caller = new SessionCaller(
       {
@@ -186,16 +188,16 @@
   }
 }
 
-/** Figures are told, not asserted: they depend on the machine. */
-function report(scene: Scene, judgement: Judgement, silence: number): void {
-  const { acknowledged, unknown, refusals } = judgement
-  const told = {
+/** These figures are printed, not asserted, because they depend on the machine. */
+function report(fixture: ScenarioFixture, result: HistoryCheckResult, writeGap: number): void {
+  const { acknowledged, unknown, refusals } = result
+  const figures = {
     acknowledged,
     unknown,
     refusals: Object.fromEntries(refusals),
-    longestWriteSilenceMilliseconds: Math.round(silence),
+    longestWriteSilenceMilliseconds: Math.round(writeGap),
   }
-  process.stdout.write(`${scene.database.id}: ${JSON.stringify(told)}\n`)
+  process.stdout.write(`${fixture.database.id}: ${JSON.stringify(figures)}\n`)
 }
 
 export const wait = (span: number): Promise<void> => delay(span)
--- a/packages/bench/src/demo/demoOptions.ts
+++ b/packages/bench/src/demo/demoOptions.ts
@@ -1,4 +1,4 @@
-/** The demo's command line. */
+/** Command line options of the demo. */
 import { parseArgs } from 'node:util'
 
 export interface DemoOptions {
@@ -11,18 +11,18 @@
 const USAGE = `Usage: ./scripts/demo [--deployment atlas-quai|shutterbaithak] [--seconds N] [--seed N]
                       [--entry-hosts N]
 
-Runs one deployment in small on this machine, kills a primary, restarts it, moves it by plan, and
-compares what callers were told with what the databases hold. Ends with one JSON object; exits
-with 1 when anything was lost, doubled or stale.
+Runs a small deployment on this machine, kills a primary, restarts it, moves it as planned, and
+compares the answers that callers received with the contents of the databases. The last line is one
+JSON object. The exit code is 1 if any write was lost or ran twice, or any read was stale.
 `
 
-const SHORTEST_SECONDS = 10
+const MIN_SECONDS = 10
 
-/** Prints the usage and ends the process on words that it does not know. */
-export function readDemoOptions(words: readonly string[]): DemoOptions {
+/** Prints the usage and exits if the arguments are invalid. */
+export function readDemoOptions(args: readonly string[]): DemoOptions {
   try {
     const { values } = parseArgs({
-      args: [...words],
+      args: [...args],
       options: {
         deployment: { type: 'string', default: 'atlas-quai' },
         seconds: { type: 'string', default: '30' },
@@ -31,19 +31,19 @@
         help: { type: 'boolean', short: 'h', default: false },
       },
     })
-    if (values.help) leave(0, USAGE)
+    if (values.help) exitWithText(0, USAGE)
     const { deployment } = values
     if (deployment !== 'atlas-quai' && deployment !== 'shutterbaithak') {
-      return leave(2, `no such deployment: ${deployment}\n${USAGE}`)
+      return exitWithText(2, `unknown deployment: ${deployment}\n${USAGE}`)
     }
     return {
       deployment,
-      seconds: readNumber('seconds', values.seconds, SHORTEST_SECONDS),
+      seconds: readNumber('seconds', values.seconds, MIN_SECONDS),
       seed: readNumber('seed', values.seed, 0),
       entryHosts: readNumber('entry-hosts', values['entry-hosts'], 1),
     }
   } catch (error) {
-    return leave(2, `${error instanceof Error ? error.message : String(error)}\n${USAGE}`)
+    return exitWithText(2, `${error instanceof Error ? error.message : String(error)}\n${USAGE}`)
   }
 }
 
@@ -53,7 +53,7 @@
   throw new Error(`--${name} takes a whole number of ${least} or more, not ${text}`)
 }
 
-function leave(code: number, text: string): never {
+function exitWithText(code: number, text: string): never {
   process.stderr.write(text)
   process.exit(code)
 }
--- a/packages/bench/src/deployment/deployment.ts
+++ b/packages/bench/src/deployment/deployment.ts
@@ -1,4 +1,4 @@
-/** A whole deployment as processes on this machine: platform, databases, agents and proxies. */
+/** Runs a whole deployment as local processes: platform, databases, agents and proxies. */
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -25,29 +25,29 @@
   readonly shape: DeploymentShape['name']
   readonly databases: number
   readonly entryHosts: number
-  /** Puts the relay between zones: delays, cuts and byte counts. */
+  /** Routes traffic between zones through the relay, which adds delays, cuts and byte counts. */
   readonly network: boolean
-  /** Starts agents and proxies too. */
+  /** Also starts agents and proxies. */
   readonly fleet: boolean
-  /** Time that a statement holds a slot of a backend server. */
+  /** How long a statement occupies a slot of a backend server. */
   readonly serviceMilliseconds?: number
   readonly hostListLagMilliseconds?: number
-  /** Settings of every agent or proxy beyond those that the plan gives. */
+  /** Additional settings of every agent or proxy, merged over those from the plan. */
   readonly agentSettings?: Readonly<Record<string, unknown>>
   readonly proxySettings?: Readonly<Record<string, unknown>>
 }
 
 const HOST_LIST = 'host-list'
 
-/** The built file of a package of this workspace, beside its public face. */
-function programOf(packageName: string, file: string): string {
+/** Path of a built file of a workspace package, next to the package's entry point. */
+function programPath(packageName: string, file: string): string {
   return fileURLToPath(new URL(file, import.meta.resolve(`@nutmegcourse/${packageName}`)))
 }
 
 export class Deployment {
   readonly plan: DeploymentPlan
   readonly #options: DeploymentOptions
-  /** Settings, data and logs of the processes; removed by `stop`. */
+  /** Holds settings, data and logs of the processes; removed by `stop`. */
   readonly directory = mkdtempSync(join(tmpdir(), 'nutmegcourse-'))
   readonly #processes = new Map<string, ManagedProcess>()
   #network = new Network(null)
@@ -59,7 +59,7 @@
     process.once('exit', this.#killAll)
   }
 
-  /** Starts everything and returns when every process says that it is ready. */
+  /** Starts everything and resolves once every process has reported that it is ready. */
   static async start(options: DeploymentOptions): Promise<Deployment> {
     const plan = await planDeployment(SHAPES[options.shape], options.databases, options.entryHosts)
     const deployment = new Deployment(options, plan)
@@ -77,7 +77,7 @@
   }
 
   get platform(): Platform {
-    if (this.#platform === null) throw new Error('the platform does not run yet')
+    if (this.#platform === null) throw new Error('the platform has not been started yet')
     return this.#platform
   }
 
@@ -103,7 +103,7 @@
     await this.process(id).end('SIGKILL')
   }
 
-  /** SIGTERM, and the exit code. */
+  /** Sends SIGTERM and resolves with the exit code. */
   async stopGracefully(id: string): Promise<number | null> {
     return this.process(id).end('SIGTERM')
   }
@@ -132,7 +132,7 @@
     await this.#network.setCut(from, to, false)
   }
 
-  /** Breaks connections between zones; requests and answers on their way are lost. */
+  /** Resets connections between zones; requests and answers in transit are lost. */
   async resetConnections(
     from: readonly AvailabilityZoneId[],
     to: readonly AvailabilityZoneId[],
@@ -140,7 +140,7 @@
     await this.#network.reset(from, to)
   }
 
-  /** Cuts a zone off from all others and from the platform. */
+  /** Isolates a zone from all other zones and from the platform. */
   async isolate(zone: AvailabilityZoneId): Promise<void> {
     await this.cut([zone], this.#othersThan(zone))
   }
@@ -171,8 +171,8 @@
 
   async #startAll(): Promise<void> {
     const { shape } = this.plan
-    const store = await this.#start('store', programOf('stand-ins', 'store/main.js'), {})
-    const hostList = await this.#start(HOST_LIST, programOf('stand-ins', 'hostList/main.js'), {
+    const store = await this.#start('store', programPath('stand-ins', 'store/main.js'), {})
+    const hostList = await this.#start(HOST_LIST, programPath('stand-ins', 'hostList/main.js'), {
       lagMilliseconds: this.#options.hostListLagMilliseconds ?? 0,
       zones: this.zones,
     })
@@ -180,7 +180,7 @@
     if (this.#options.network) this.#network = new Network(await this.#startRelay(shape))
     await this.#connectZones(hostList.zonePorts as Readonly<Record<string, number>>)
     await Promise.all(this.plan.databases.map(database => this.#startDatabase(database)))
-    await this.platform.fill(this.#routes())
+    await this.platform.initialize(this.#routes())
     if (!this.#options.fleet) return
     await Promise.all(this.plan.entryHosts.map(host => this.#startEntryHost(host)))
   }
@@ -197,7 +197,7 @@
 
   async #startRelay(shape: DeploymentShape): Promise<number> {
     const regions = Object.fromEntries(shape.zones.map(entry => [entry.zone, entry.region]))
-    const ready = await this.#start('relay', programOf('stand-ins', 'relay/main.js'), {
+    const ready = await this.#start('relay', programPath('stand-ins', 'relay/main.js'), {
       regions: { ...regions, [PLATFORM_ZONE]: shape.platformRegion },
       zoneDelayMilliseconds: shape.zoneDelayMilliseconds,
       regionDelayMilliseconds: shape.regionDelayMilliseconds,
@@ -209,7 +209,7 @@
   async #connectZones(hostListPorts: Readonly<Record<string, number>>): Promise<void> {
     for (const zone of this.zones) {
       const port = hostListPorts[zone] ?? 0
-      await this.#network.connect([zone], { id: hostListIn(zone), zone: PLATFORM_ZONE, port })
+      await this.#network.connect([zone], { id: hostListTarget(zone), zone: PLATFORM_ZONE, port })
     }
     const store = { id: 'store', zone: PLATFORM_ZONE, port: this.platform.storePort }
     const destinations = [
@@ -230,12 +230,12 @@
     }
   }
 
-  async #startServer(server: PlannedServer, leads: boolean): Promise<void> {
+  async #startServer(server: PlannedServer, isPrimary: boolean): Promise<void> {
     const { shape } = this.plan
-    await this.#start(server.id, programOf('stand-ins', 'backendServer/main.js'), {
+    await this.#start(server.id, programPath('stand-ins', 'backendServer/main.js'), {
       port: server.port,
       dataFile: join(this.directory, `${server.id}.data`),
-      initialRole: leads ? 'primary' : 'replica',
+      initialRole: isPrimary ? 'primary' : 'replica',
       initialTerm: FIRST_TERM,
       slots: shape.slots,
       connectionLimit: shape.connectionLimit,
@@ -245,19 +245,25 @@
     })
   }
 
-  /** Another zone may tell this server of a peer by a port that only that zone's network has. */
+  /**
+   * Maps the ports under which other zones know a peer to the one that works in this server's zone,
+   * because a server may be given a peer's address as seen from another zone.
+   */
   #routesOf(server: PlannedServer): readonly { fromPort: number; toPort: number }[] {
     const peers = this.plan.databases
       .filter(database => database.id === server.database)
       .flatMap(database => database.servers)
     return peers.flatMap(peer => {
       const toPort = this.#network.portFrom(server.zone, peer.id)
-      const known = [peer.port, ...this.zones.map(zone => this.#network.portFrom(zone, peer.id))]
-      return [...new Set(known)].map(fromPort => ({ fromPort, toPort }))
+      const knownPorts = [
+        peer.port,
+        ...this.zones.map(zone => this.#network.portFrom(zone, peer.id)),
+      ]
+      return [...new Set(knownPorts)].map(fromPort => ({ fromPort, toPort }))
     })
   }
 
-  /** How each zone reaches each listed host. */
+  /** The address of each listed host as seen from each zone. */
   #routes(): readonly ZoneRoute[] {
     const servers = this.plan.databases.flatMap(database => database.servers)
     const hostIds = [...servers, ...this.plan.entryHosts].map(host => host.id)
@@ -273,19 +279,22 @@
 
   async #startEntryHost(host: PlannedEntryHost): Promise<void> {
     const common = { entryHost: host.id, zone: host.zone, region: host.region }
-    const at = (port: number): { address: string; port: number } => ({ address: LOOPBACK, port })
-    await this.#start(agentOf(host), programOf('agent', 'main.js'), {
+    const endpoint = (port: number): { address: string; port: number } => ({
+      address: LOOPBACK,
+      port,
+    })
+    await this.#start(agentProcessId(host), programPath('agent', 'main.js'), {
       ...common,
-      listen: at(host.agentPort),
-      proxyListen: at(host.proxyListenPort),
-      store: at(this.#network.portFrom(host.zone, 'store')),
-      hostList: at(this.#network.portFrom(host.zone, hostListIn(host.zone))),
+      listen: endpoint(host.agentPort),
+      proxyListen: endpoint(host.proxyListenPort),
+      store: endpoint(this.#network.portFrom(host.zone, 'store')),
+      hostList: endpoint(this.#network.portFrom(host.zone, hostListTarget(host.zone))),
       ...this.#options.agentSettings,
     })
-    await this.#start(proxyOf(host), programOf('proxy', 'main.js'), {
+    await this.#start(proxyProcessId(host), programPath('proxy', 'main.js'), {
       ...common,
-      listen: at(host.proxyPort),
-      agent: at(host.proxyListenPort),
+      listen: endpoint(host.proxyPort),
+      agent: endpoint(host.proxyListenPort),
       ...this.#options.proxySettings,
     })
   }
@@ -295,6 +304,6 @@
   }
 }
 
-export const agentOf = (host: PlannedEntryHost): string => `agent-of-${host.id}`
-export const proxyOf = (host: PlannedEntryHost): string => `proxy-of-${host.id}`
-const hostListIn = (zone: AvailabilityZoneId): string => `${HOST_LIST}-for-${zone}`
+export const agentProcessId = (host: PlannedEntryHost): string => `agent-of-${host.id}`
+export const proxyProcessId = (host: PlannedEntryHost): string => `proxy-of-${host.id}`
+const hostListTarget = (zone: AvailabilityZoneId): string => `${HOST_LIST}-for-${zone}`
--- a/packages/bench/src/deployment/plan.ts
+++ b/packages/bench/src/deployment/plan.ts
@@ -1,4 +1,4 @@
-/** Who stands where in a deployment: ids, zones and ports, worked out before anything starts. */
+/** The layout of a deployment (ids, zones and ports), computed before any process starts. */
 import {
   availabilityZoneId,
   backendServerId,
@@ -13,7 +13,7 @@
 import { freePorts } from '@nutmegcourse/stand-ins'
 import type { DeploymentShape, ShapeZone } from './shapes.js'
 
-/** The platform stands apart from the zones, so that a zone can lose it alone. */
+/** The platform has a zone of its own, so that a zone can be cut off from the platform alone. */
 export const PLATFORM_ZONE = availabilityZoneId('platform')
 
 export interface PlannedServer {
@@ -35,7 +35,7 @@
 
 export interface PlannedDatabase {
   readonly id: DatabaseId
-  /** The first leads in the beginning. */
+  /** The first one is the initial primary. */
   readonly servers: readonly PlannedServer[]
 }
 
@@ -45,7 +45,7 @@
   readonly entryHosts: readonly PlannedEntryHost[]
 }
 
-const PORTS_OF_ENTRY_HOST = 3
+const PORTS_PER_ENTRY_HOST = 3
 
 export async function planDeployment(
   shape: DeploymentShape,
@@ -53,10 +53,10 @@
   entryHostCount: number,
 ): Promise<DeploymentPlan> {
   const serverCount = databaseCount * shape.zones.length
-  const ports = [...(await freePorts(serverCount + PORTS_OF_ENTRY_HOST * entryHostCount))]
+  const ports = [...(await freePorts(serverCount + PORTS_PER_ENTRY_HOST * entryHostCount))]
   const nextPort = (): number => ports.pop() ?? 0
-  const databases = countTo(databaseCount).map(index => planDatabase(shape, index, nextPort))
-  const entryHosts = countTo(entryHostCount).map(index => ({
+  const databases = indexesBelow(databaseCount).map(index => planDatabase(shape, index, nextPort))
+  const entryHosts = indexesBelow(entryHostCount).map(index => ({
     id: entryHostId(`entry-${index + 1}`),
     ...zoneAt(shape, index),
     agentPort: nextPort(),
@@ -66,7 +66,7 @@
   return { shape, databases, entryHosts }
 }
 
-/** Primaries begin in the zones of the platform's region, in turn. */
+/** Distributes the initial primaries round-robin over the zones of the platform's region. */
 function planDatabase(
   shape: DeploymentShape,
   index: number,
@@ -75,7 +75,7 @@
   const id = databaseId(`${shape.service}-${index + 1}`)
   const homeZones = shape.zones.filter(entry => entry.region === shape.platformRegion).length
   const first = index % homeZones
-  const order = [first, ...countTo(shape.zones.length).filter(zone => zone !== first)]
+  const order = [first, ...indexesBelow(shape.zones.length).filter(zone => zone !== first)]
   const servers = order.map(zone => ({
     id: backendServerId(`${id}-${zoneAt(shape, zone).zone}`),
     database: id,
@@ -87,8 +87,9 @@
 
 function zoneAt(shape: DeploymentShape, index: number): ShapeZone {
   const found = shape.zones[index % shape.zones.length]
-  if (found === undefined) throw new Error('a deployment without zones')
+  if (found === undefined) throw new Error('the deployment shape has no zones')
   return found
 }
 
-const countTo = (count: number): readonly number[] => Array.from({ length: count }, (_, at) => at)
+const indexesBelow = (count: number): readonly number[] =>
+  Array.from({ length: count }, (_, at) => at)
--- a/packages/bench/src/deployment/shapes.ts
+++ b/packages/bench/src/deployment/shapes.ts
@@ -1,4 +1,4 @@
-/** The two deployments of today, as parameters of a `Deployment`. */
+/** The parameters of the two existing deployments, for use with `Deployment`. */
 import {
   availabilityZoneId,
   className,
@@ -17,15 +17,15 @@
   readonly name: 'atlas-quai' | 'shutterbaithak'
   /** Databases are named `<service>-1` and so on. */
   readonly service: string
-  /** One backend server of each database stands in each zone. */
+  /** Each zone has one backend server of each database. */
   readonly zones: readonly ShapeZone[]
-  /** Where the store and the host list stand. */
+  /** The region of the store and the host list. */
   readonly platformRegion: RegionId
   readonly databaseCount: number
   readonly slots: number
   readonly connectionLimit: number
   readonly connectMilliseconds: number
-  /** One-way delays. */
+  /** One-way delays between zones of a region and between regions. */
   readonly zoneDelayMilliseconds: number
   readonly regionDelayMilliseconds: number
   readonly regionBitsPerSecond: number
@@ -34,7 +34,7 @@
 
 const REGION_BITS_PER_SECOND = 20_000_000
 
-const zoneOf = (zone: string, region: string): ShapeZone => ({
+const shapeZone = (zone: string, region: string): ShapeZone => ({
   zone: availabilityZoneId(zone),
   region: regionId(region),
 })
@@ -43,9 +43,9 @@
   name: 'atlas-quai',
   service: 'quai-sched',
   zones: [
-    zoneOf('tanger-nord', 'tanger'),
-    zoneOf('tanger-sud', 'tanger'),
-    zoneOf('casa-est', 'casa'),
+    shapeZone('tanger-nord', 'tanger'),
+    shapeZone('tanger-sud', 'tanger'),
+    shapeZone('casa-est', 'casa'),
   ],
   platformRegion: regionId('tanger'),
   databaseCount: 3,
@@ -83,9 +83,9 @@
   name: 'shutterbaithak',
   service: 'salon-db',
   zones: [
-    zoneOf('salt-lake', 'kolkata'),
-    zoneOf('new-town', 'kolkata'),
-    zoneOf('matigara', 'siliguri'),
+    shapeZone('salt-lake', 'kolkata'),
+    shapeZone('new-town', 'kolkata'),
+    shapeZone('matigara', 'siliguri'),
   ],
   platformRegion: regionId('kolkata'),
   databaseCount: 3,
--- a/packages/bench/src/fleet/fleetShape.ts
+++ b/packages/bench/src/fleet/fleetShape.ts
@@ -1,4 +1,4 @@
-/** Fleets of any size, laid out like the ones that are planned for: hosts, zones, regions, databases. */
+/** Generates fleets of any size with the planned layout of hosts, zones, regions and databases. */
 import type { GroupRecord, ListedBackendServer, Member } from '@nutmegcourse/protocol'
 import {
   availabilityZoneId,
@@ -23,56 +23,56 @@
 const SERVERS_PER_DATABASE = 3
 const LOOPBACK = '127.0.0.1'
 
-const regionsOf = (size: FleetSize): number =>
+const regionCount = (size: FleetSize): number =>
   size.hosts < LARGE_FLEET_HOSTS ? 1 : LARGE_FLEET_REGIONS
 
-function zonePlace(zone: number): Pick<HostLocation, 'zone' | 'region'> {
+function zoneLocation(zone: number): Pick<HostLocation, 'zone' | 'region'> {
   return {
     zone: availabilityZoneId(`zone-${zone}`),
     region: regionId(`region-${Math.floor(zone / ZONES_PER_REGION)}`),
   }
 }
 
-export function hostPlaces(size: FleetSize): readonly HostLocation[] {
-  const zones = regionsOf(size) * ZONES_PER_REGION
+export function hostLocations(size: FleetSize): readonly HostLocation[] {
+  const zones = regionCount(size) * ZONES_PER_REGION
   return Array.from({ length: size.hosts }, (_, index) => ({
     entryHost: entryHostId(`host-${index}`),
-    ...zonePlace(index % zones),
+    ...zoneLocation(index % zones),
   }))
 }
 
-export const listedHost = (place: HostLocation, port: number): ListedEntryHost => ({
+export const listedHost = (location: HostLocation, port: number): ListedEntryHost => ({
   kind: 'entryHost',
-  id: place.entryHost,
+  id: location.entryHost,
   address: LOOPBACK,
   port,
-  zone: place.zone,
-  region: place.region,
+  zone: location.zone,
+  region: location.region,
   state: 'live',
 })
 
-export const memberOf = (place: HostLocation, port: number, life = 1): Member => ({
-  ...place,
+export const memberOf = (location: HostLocation, port: number, incarnationNumber = 1): Member => ({
+  ...location,
   address: LOOPBACK,
   port,
-  incarnation: incarnation(life),
+  incarnation: incarnation(incarnationNumber),
   status: 'alive',
 })
 
-/** A database's servers, one in each zone of one region. */
+/** The servers of a database, one in each zone of one region. */
 export function serversOf(
   index: number,
   size: FleetSize,
   port: number,
 ): readonly ListedBackendServer[] {
-  const region = index % regionsOf(size)
+  const region = index % regionCount(size)
   return Array.from({ length: SERVERS_PER_DATABASE }, (_, server) => ({
     kind: 'backendServer',
     id: backendServerId(`db-${index}-${server}`),
     database: databaseId(`db-${index}`),
     address: LOOPBACK,
     port,
-    ...zonePlace(region * ZONES_PER_REGION + server),
+    ...zoneLocation(region * ZONES_PER_REGION + server),
     state: 'live',
     slots: 3,
     connectionLimit: 25,
--- a/packages/bench/src/fleet/measureAgent.ts
+++ b/packages/bench/src/fleet/measureAgent.ts
@@ -1,4 +1,4 @@
-/** Measures one shipped agent against what a fleet of a given size would send it. */
+/** Measures one production agent with the traffic that a fleet of a given size would send it. */
 import { setTimeout as pause } from 'node:timers/promises'
 import { WatcherPlan, type HostLocation, type Watcher } from '@nutmegcourse/coordination'
 import type { ListedBackendServer, GossipItem } from '@nutmegcourse/protocol'
@@ -10,7 +10,7 @@
 import { FakePeers } from './fakePeers.js'
 import {
   groupRecordOf,
-  hostPlaces,
+  hostLocations,
   listedHost,
   memberOf,
   serversOf,
@@ -19,32 +19,34 @@
 import { FakeStore, fakeHostList, targetsOf } from './platformFakes.js'
 
 const LOOPBACK = '127.0.0.1'
-/** Past the agent's own settling time, and until its code is compiled. */
+/** Covers the agent's settling time and the just-in-time compilation of its code. */
 const SETTLE_MILLISECONDS = 6000
 const QUIET_MILLISECONDS = 5000
-const LONGEST_START_MILLISECONDS = 20_000
+const START_TIMEOUT_MILLISECONDS = 20_000
 const POLL_MILLISECONDS = 250
 const EVENTS = 20
 const EVENT_SPACING_MILLISECONDS = 75
-/** Never dialed: servers of databases that the agent does not watch. */
-const NO_PORT = 9
+/**
+ * Port of backend servers that are never contacted, as the agent does not watch their databases.
+ */
+const UNUSED_PORT = 9
 const SEED = 4
 const MEGABYTE = 1024 * 1024
 const MICROSECONDS_PER_SECOND = 1_000_000
 
-/** Rates are per second, of the quiet fleet. */
+/** Rates per second while there are no events. */
 export interface QuietCost {
   readonly peerBytes: number
   readonly watchBytes: number
   readonly storeBytes: number
   readonly hostListBytes: number
   readonly messages: number
-  /** Of one core. */
+  /** As a share of one core. */
   readonly processorShare: number
   readonly storeCalls: number
 }
 
-/** What one event of a kind costs on top. */
+/** Additional cost of one event. */
 export interface EventCost {
   readonly bytes: number
   readonly processorMilliseconds: number
@@ -57,7 +59,7 @@
   readonly databases: number
   readonly watchedDatabases: number
   readonly links: number
-  /** From the process's start to knowing every host and database. */
+  /** From the start of the process until it knows every host and database. */
   readonly startMilliseconds: number
   readonly quiet: QuietCost
   readonly events: Readonly<Record<EventKind, EventCost>>
@@ -79,9 +81,9 @@
   readonly at: number
 }
 
-/** Everything around the measured agent. */
-class Surroundings {
-  readonly places: readonly HostLocation[]
+/** The fakes and backend servers around the measured agent. */
+class AgentEnvironment {
+  readonly locations: readonly HostLocation[]
   readonly peers: FakePeers
   readonly #size: FleetSize
   readonly #options: MeasureOptions
@@ -93,8 +95,8 @@
   constructor(size: FleetSize, options: MeasureOptions) {
     this.#size = size
     this.#options = options
-    this.places = hostPlaces(size)
-    this.peers = new FakePeers(this.places, this.self.entryHost, new SeededRandom(SEED))
+    this.locations = hostLocations(size)
+    this.peers = new FakePeers(this.locations, this.measuredHost.entryHost, new SeededRandom(SEED))
   }
 
   /** When the agent's process was started. */
@@ -102,9 +104,9 @@
     return this.#startedAt
   }
 
-  get self(): HostLocation {
-    const [first] = this.places
-    if (first === undefined) throw new Error('a fleet has hosts')
+  get measuredHost(): HostLocation {
+    const [first] = this.locations
+    if (first === undefined) throw new Error('the fleet has no hosts')
     return first
   }
 
@@ -115,15 +117,18 @@
 
   async startAgent(): Promise<AgentProcess> {
     const ports = await this.peers.listen()
-    for (const place of this.places) {
-      const port = ports.get(place.entryHost)
-      if (port !== undefined) this.#learn({ kind: 'member', member: memberOf(place, port) })
+    for (const location of this.locations) {
+      const port = ports.get(location.entryHost)
+      if (port !== undefined)
+        this.#addToGossip({ kind: 'member', member: memberOf(location, port) })
     }
     const records = Array.from({ length: this.#size.databases }, (_, index) => groupRecordOf(index))
-    for (const record of records) this.#learn({ kind: 'group', record, revision: 1 })
-    this.#learn({ kind: 'targets', document: targetsOf(1) })
+    for (const record of records) this.#addToGossip({ kind: 'group', record, revision: 1 })
+    this.#addToGossip({ kind: 'targets', document: targetsOf(1) })
     const store = new FakeStore(records)
-    const entryHosts = this.places.map(place => listedHost(place, ports.get(place.entryHost) ?? 0))
+    const entryHosts = this.locations.map(location =>
+      listedHost(location, ports.get(location.entryHost) ?? 0),
+    )
     const hosts = [...entryHosts, ...(await this.#startServers())]
     const hostList = fakeHostList(hosts, this.#options.hostListKnowsVersions)
     this.#closers.push(
@@ -136,7 +141,11 @@
     )
     const dialers = this.peers.findDialers()
     this.#startedAt = performance.now()
-    const agent = await AgentProcess.start(this.self, await store.start(), await hostList.start())
+    const agent = await AgentProcess.start(
+      this.measuredHost,
+      await store.start(),
+      await hostList.start(),
+    )
     await this.peers.dial(dialers, agent.ports.listen)
     await this.#subscribe(agent)
     return agent
@@ -149,18 +158,18 @@
     for (const close of this.#closers) close()
   }
 
-  #learn(item: GossipItem): void {
-    this.peers.news.handle({ kind: 'learned', item })
+  #addToGossip(item: GossipItem): void {
+    this.peers.gossip.handle({ kind: 'learned', item })
   }
 
-  /** Backend servers run for the databases that the agent watches; the others are only listed. */
+  /** Runs the backend servers of databases that the agent watches; the others are only listed. */
   async #startServers(): Promise<readonly ListedBackendServer[]> {
-    const plan = new WatcherPlan(this.places)
+    const plan = new WatcherPlan(this.locations)
     const listed: ListedBackendServer[] = []
     for (let index = 0; index < this.#size.databases; index += 1) {
-      const servers = serversOf(index, this.#size, NO_PORT)
+      const servers = serversOf(index, this.#size, UNUSED_PORT)
       const watchers = plan.watchersOf(databaseId(`db-${index}`), servers)
-      const isWatched = watchers.some(watcher => watcher.entryHost === this.self.entryHost)
+      const isWatched = watchers.some(watcher => watcher.entryHost === this.measuredHost.entryHost)
       if (isWatched) this.#addOpinions(watchers, servers)
       listed.push(...(isWatched ? await this.#runServers(servers) : servers))
     }
@@ -171,7 +180,7 @@
     const [primary] = servers
     if (primary === undefined) return
     for (const { entryHost, zone, region } of watchers) {
-      if (entryHost === this.self.entryHost) continue
+      if (entryHost === this.measuredHost.entryHost) continue
       const { database, id: about } = primary
       const view = { about, term: term(1), suspected: false, sequence: 1 }
       this.peers.addOpinion({ database, watcher: entryHost, zone, region, ...view })
@@ -194,7 +203,7 @@
     return running
   }
 
-  /** One proxy that takes every snapshot. */
+  /** Subscribes one proxy, which receives every snapshot. */
   async #subscribe(agent: AgentProcess): Promise<void> {
     const port = agent.ports.proxyListen
     const opened = await openJsonRpc(LOOPBACK, port, {}, QUIET_MILLISECONDS)
@@ -207,24 +216,25 @@
 }
 
 export async function measureAgent(size: FleetSize, options: MeasureOptions): Promise<Measurement> {
-  const around = new Surroundings(size, options)
-  const agent = await around.startAgent()
+  const environment = new AgentEnvironment(size, options)
+  const agent = await environment.startAgent()
   try {
-    await knowsAll(agent, size)
-    const startMilliseconds = performance.now() - around.startedAt
+    await waitUntilFleetKnown(agent, size)
+    const startMilliseconds = performance.now() - environment.startedAt
     await pause(SETTLE_MILLISECONDS)
-    const quiet = await quietCost(agent, around)
+    const quiet = await measureQuietCost(agent, environment)
     const events = {
-      configurationChange: await eventCost(agent, around, quiet, change => ({
+      configurationChange: await measureEventCost(agent, environment, quiet, change => ({
         kind: 'targets',
         document: targetsOf(change),
       })),
-      memberChange: await eventCost(agent, around, quiet, change => {
-        const place = around.places[change % size.hosts] ?? around.self
-        const other = place === around.self ? (around.places[1] ?? place) : place
-        return { kind: 'member', member: memberOf(other, NO_PORT, change) }
+      memberChange: await measureEventCost(agent, environment, quiet, change => {
+        const location = environment.locations[change % size.hosts] ?? environment.measuredHost
+        const other =
+          location === environment.measuredHost ? (environment.locations[1] ?? location) : location
+        return { kind: 'member', member: memberOf(other, UNUSED_PORT, change) }
       }),
-      groupChange: await eventCost(agent, around, quiet, change => ({
+      groupChange: await measureEventCost(agent, environment, quiet, change => ({
         kind: 'group',
         record: groupRecordOf(change % size.databases),
         revision: change,
@@ -234,7 +244,7 @@
     return {
       ...size,
       watchedDatabases: watched.length,
-      links: around.peers.links,
+      links: environment.peers.links,
       startMilliseconds,
       quiet,
       events,
@@ -242,24 +252,29 @@
     }
   } finally {
     await agent.stop()
-    around.stop()
+    environment.stop()
   }
 }
 
-async function knowsAll(agent: AgentProcess, size: FleetSize): Promise<void> {
-  const deadline = performance.now() + LONGEST_START_MILLISECONDS
+async function waitUntilFleetKnown(agent: AgentProcess, size: FleetSize): Promise<void> {
+  const deadline = performance.now() + START_TIMEOUT_MILLISECONDS
   while (performance.now() < deadline) {
     const { hosts, groups } = await agent.usage()
     if (hosts >= size.hosts && groups >= size.databases) return
     await pause(POLL_MILLISECONDS)
   }
-  throw new Error(`the agent does not know its fleet after ${LONGEST_START_MILLISECONDS} ms`)
+  throw new Error(
+    `the agent did not know all hosts and databases within ${START_TIMEOUT_MILLISECONDS} ms`,
+  )
 }
 
-async function quietCost(agent: AgentProcess, around: Surroundings): Promise<QuietCost> {
-  const before = await totals(agent, around)
+async function measureQuietCost(
+  agent: AgentProcess,
+  environment: AgentEnvironment,
+): Promise<QuietCost> {
+  const before = await readTotals(agent, environment)
   await pause(QUIET_MILLISECONDS)
-  const after = await totals(agent, around)
+  const after = await readTotals(agent, environment)
   const seconds = (after.at - before.at) / 1000
   const rate = (key: keyof Totals): number => (after[key] - before[key]) / seconds
   return {
@@ -273,18 +288,18 @@
   }
 }
 
-async function eventCost(
+async function measureEventCost(
   agent: AgentProcess,
-  around: Surroundings,
+  environment: AgentEnvironment,
   quiet: QuietCost,
   eventOf: (change: number) => GossipItem,
 ): Promise<EventCost> {
-  const before = await totals(agent, around)
+  const before = await readTotals(agent, environment)
   for (let change = 2; change < EVENTS + 2; change += 1) {
-    around.peers.inject(eventOf(change))
+    environment.peers.inject(eventOf(change))
     await pause(EVENT_SPACING_MILLISECONDS)
   }
-  const after = await totals(agent, around)
+  const after = await readTotals(agent, environment)
   const seconds = (after.at - before.at) / 1000
   const peerBytes = after.peerBytes - before.peerBytes - quiet.peerBytes * seconds
   const spent = after.processorSeconds - before.processorSeconds - quiet.processorShare * seconds
@@ -294,16 +309,16 @@
   }
 }
 
-async function totals(agent: AgentProcess, around: Surroundings): Promise<Totals> {
+async function readTotals(agent: AgentProcess, environment: AgentEnvironment): Promise<Totals> {
   const { traffic, counters, processorMicroseconds } = await agent.usage()
   const bytes = (part: { sent: number; received: number }): number => part.sent + part.received
   const calls = Object.entries(counters).filter(([name]) => name.startsWith('store.call'))
   return {
     peerBytes: bytes(traffic.peers),
-    watchBytes: around.watchBytes,
+    watchBytes: environment.watchBytes,
     storeBytes: bytes(traffic.store),
     hostListBytes: bytes(traffic.hostList),
-    messages: around.peers.messages,
+    messages: environment.peers.messages,
     processorSeconds: processorMicroseconds / MICROSECONDS_PER_SECOND,
     storeCalls: calls.reduce((sum, [, count]) => sum + count, 0),
     at: performance.now(),
--- a/packages/bench/src/proxyCost/leanBackend.ts
+++ b/packages/bench/src/proxyCost/leanBackend.ts
@@ -1,6 +1,7 @@
 /**
- * A backend server that costs next to nothing: every statement gets one row, every position question the
- * same position. What is measured in front of it is then the cost of what stands between.
+ * A backend server of minimal cost: answers every statement with the same row and every position
+ * query with the same position, so that measurements show the cost of the components in front of
+ * it.
  */
 import type { Socket } from 'node:net'
 import {
@@ -16,7 +17,7 @@
   type FrameSink,
 } from '@nutmegcourse/protocol'
 import { listen } from '@nutmegcourse/transport'
-import { readProcessSettings, tellReady } from './processSettings.js'
+import { readProcessSettings, reportReady } from './processSettings.js'
 
 const LOOPBACK = '127.0.0.1'
 const TEXT_TYPE = 25
@@ -67,7 +68,7 @@
     READY,
   ])
 
-class LeanSession implements FrameSink {
+class MinimalSession implements FrameSink {
   readonly wantsMore = true
   readonly #socket: Socket
   readonly #position: Buffer
@@ -109,6 +110,6 @@
 const { role } = readProcessSettings()
 const position = positionOf(String(role))
 const { port } = await listen(LOOPBACK, 0, socket => {
-  new LeanSession(socket, position)
+  new MinimalSession(socket, position)
 })
-tellReady(port)
+reportReady(port)
--- a/packages/bench/src/proxyCost/processSettings.ts
+++ b/packages/bench/src/proxyCost/processSettings.ts
@@ -1,4 +1,6 @@
-/** What the helper processes of the measurement are told: `--settings FILE`, as the shipped ones are. */
+/**
+ * Settings of the measurement's helper processes: `--settings FILE`, as in the production programs.
+ */
 import { readFileSync } from 'node:fs'
 import { parseArgs } from 'node:util'
 import { parse } from 'yaml'
@@ -8,6 +10,6 @@
   return parse(readFileSync(values.settings ?? '', 'utf8')) as Record<string, unknown>
 }
 
-export function tellReady(port: number): void {
+export function reportReady(port: number): void {
   process.stdout.write(`${JSON.stringify({ ready: true, port })}\n`)
 }
--- a/packages/bench/src/routing/decisions.ts
+++ b/packages/bench/src/routing/decisions.ts
@@ -1,13 +1,13 @@
-/** Decisions per second of one core that is never short of connections. */
+/** Measures decisions per second of one core that always has connections available. */
 import { className, requestId, sessionId } from '@nutmegcourse/shared'
 import type { ProxyMessage } from '@nutmegcourse/state'
 import { BENCH_DATABASE, BENCH_SERVERS, BenchCore, benchClass } from './benchCore.js'
 
 export interface DecisionRate {
   readonly what: string
-  /** Messages that place a request: its arrival, up to the `run` effect. */
+  /** Rate of placing requests, from their arrival to the `run` effect. */
   readonly decisionsPerSecond: number
-  /** The same with the message that the request ran, which frees its connection. */
+  /** Rate including the message that the request has run, which frees its connection. */
   readonly requestsPerSecond: number
 }
 
@@ -16,7 +16,7 @@
   benchClass('primary_read', {}),
   benchClass('assign', { access: 'write', idempotent: false }),
 ]
-/** Requests between two looks at the real clock. */
+/** Requests between two readings of the real clock. */
 const BATCH = 2000
 
 export function measureDecisions(seconds: number): readonly DecisionRate[] {
@@ -30,7 +30,7 @@
 function measure(what: string, workClass: string, seconds: number): DecisionRate {
   const bench = new BenchCore(CLASSES)
   bench.start()
-  for (const name of BENCH_SERVERS) bench.answer(name, 1, bench.clock.now())
+  for (const name of BENCH_SERVERS) bench.reportPosition(name, 1, bench.clock.now())
   const run = new RateRun(bench, workClass)
   run.batch()
   run.reset()
@@ -42,7 +42,7 @@
 class RateRun {
   readonly #bench: BenchCore
   readonly #writes: boolean
-  /** Made beforehand: the shell's cost of making a message is not the core's. */
+  /** Created in advance, so that the cost of creating messages is not attributed to the core. */
   readonly #arrivals: readonly ProxyMessage[]
   #offset = 1
   #requests = 0
@@ -75,14 +75,14 @@
     }
   }
 
-  /** Places as many requests as there are connections, then lets them run; over and over. */
+  /** Repeatedly places a group of requests and then completes all of them. */
   batch(): void {
     const group = 50
     for (let start = 0; start < BATCH; start += group) {
       const started = performance.now()
       const placed = this.#place(start, group)
       const placedAt = performance.now()
-      if (placed < group) this.#warm()
+      if (placed < group) this.#warmUp()
       this.#finish(start, group)
       this.#requests += group
       this.#placingMilliseconds += placedAt - started
@@ -96,17 +96,17 @@
     for (const arrival of this.#arrivals.slice(start, start + count)) {
       const effects = this.#bench.core.handle(arrival, now)
       if (effects[0]?.kind === 'run') placed += 1
-      else this.#open(effects)
+      else this.#openConnections(effects)
     }
     return placed
   }
 
-  /** The first requests of a run open the connections that later ones find. */
-  #warm(): void {
+  /** The first requests of a run open the connections that later ones use. */
+  #warmUp(): void {
     this.#bench.clock.advance(1)
   }
 
-  #open(effects: ReturnType<BenchCore['send']>): void {
+  #openConnections(effects: ReturnType<BenchCore['send']>): void {
     for (const effect of effects) {
       if (effect.kind !== 'open') continue
       this.#bench.send({ kind: 'connectionOpened', connection: effect.connection })
@@ -116,13 +116,13 @@
   #finish(start: number, count: number): void {
     for (let index = start; index < start + count; index += 1) {
       this.#offset += 1
-      this.#bench.ran(`r${index}`, this.#writes ? this.#offset : null)
+      this.#bench.completeRequest(`r${index}`, this.#writes ? this.#offset : null)
     }
     if (!this.#writes) return
     this.#bench.clock.advance(2)
     this.#bench.send({ kind: 'tick' })
     for (const name of BENCH_SERVERS) {
-      this.#bench.answer(name, this.#offset, this.#bench.clock.now())
+      this.#bench.reportPosition(name, this.#offset, this.#bench.clock.now())
     }
   }
 }
--- a/packages/bench/src/routing/virtualLoad.ts
+++ b/packages/bench/src/routing/virtualLoad.ts
@@ -1,4 +1,4 @@
-/** One proxy's core under a steady load in virtual time, with servers that lag by a fixed span. */
+/** Simulates one proxy core under constant load in virtual time, with replicas of a fixed lag. */
 import TinyQueue from 'tinyqueue'
 import { SeededRandom, assertNever, requestId, sessionId, className } from '@nutmegcourse/shared'
 import type { ClassTargets } from '@nutmegcourse/protocol'
@@ -11,20 +11,22 @@
   type BenchServer,
 } from './benchCore.js'
 
-/** How a proxy learns what a session has written, wherever it wrote. */
-export type SessionWay =
-  /** The caller brings its last position along. */
+/** How a proxy learns what a session has written through any proxy. */
+export type SessionTracking =
+  /** The caller sends its last position with the request. */
   | 'token'
-  /** One entry host, by the session's hash, keeps it: a round trip before each read. */
+  /**
+   * An entry host chosen by the session's hash keeps it, which costs a round trip before each read.
+   */
   | 'holder'
-  /** A majority's positions, asked after each read arrived. */
+  /** The positions of a majority, queried after each read arrives. */
   | 'boundPerArrival'
 
 export interface LoadShape {
   readonly place: BenchPlace
   readonly classTargets: ClassTargets
-  readonly sessions: SessionWay
-  /** How far the replica of the primary's region, and the other one, trail the primary. */
+  readonly sessions: SessionTracking
+  /** Replication lag of the replica in the primary's region, and of the one in the other region. */
   readonly nearLagMilliseconds: number
   readonly farLagMilliseconds: number
   readonly readsPerSecond: number
@@ -37,29 +39,29 @@
   readonly latencyP50: number
   readonly latencyP99: number
   readonly refused: number
-  /** Messages over the link between regions for each read, with those of positions and of reads. */
+  /** Messages between regions per read, including position queries and the reads themselves. */
   readonly linkMessagesPerRead: number
 }
 
 const WRITE_CLASS = 'assign'
 const SERVICE_MILLISECONDS = 0.5
-/** One-way, as in the Atlas Quai deployment. */
+/** One-way delays of the Atlas Quai deployment. */
 const IN_ZONE_MILLISECONDS = 0.1
 const BETWEEN_ZONES_MILLISECONDS = 1.5
 const BETWEEN_REGIONS_MILLISECONDS = 20
 const WARM_UP_MILLISECONDS = 2000
 
-interface PlannedEvent {
+interface ScheduledEvent {
   readonly at: number
   readonly order: number
-  readonly happen: () => void
+  readonly action: () => void
 }
 
 export class VirtualLoad {
   readonly #shape: LoadShape
   readonly #bench: BenchCore
   readonly #random = new SeededRandom(7)
-  readonly #events = new TinyQueue<PlannedEvent>(
+  readonly #events = new TinyQueue<ScheduledEvent>(
     [],
     (left, right) => left.at - right.at || left.order - right.order,
   )
@@ -82,21 +84,21 @@
       replicaReadShare: 0,
     }
     this.#bench = new BenchCore([shape.classTargets, write], shape.place, effects => {
-      this.#carryOut(effects)
+      this.#executeEffects(effects)
     })
   }
 
   run(): LoadOutcome {
     const { readsPerSecond, writesPerSecond, seconds } = this.#shape
     this.#bench.start()
-    this.#planArrivals('read', readsPerSecond)
-    this.#planArrivals('write', writesPerSecond)
+    this.#scheduleArrivals('read', readsPerSecond)
+    this.#scheduleArrivals('write', writesPerSecond)
     const end = WARM_UP_MILLISECONDS + seconds * 1000
     for (;;) {
       const next = this.#events.pop()
       if (next === undefined || next.at > end) break
       this.#bench.clock.advance(Math.max(next.at - this.#now(), 0))
-      next.happen()
+      next.action()
     }
     return this.#outcome()
   }
@@ -114,12 +116,12 @@
     }
   }
 
-  #planArrivals(kind: 'read' | 'write', perSecond: number): void {
+  #scheduleArrivals(kind: 'read' | 'write', perSecond: number): void {
     if (perSecond === 0) return
     const gap = (-Math.log(1 - this.#random.next()) / perSecond) * 1000
-    this.#after(gap, () => {
+    this.#schedule(gap, () => {
       this.#arrive(kind)
-      this.#planArrivals(kind, perSecond)
+      this.#scheduleArrivals(kind, perSecond)
     })
   }
 
@@ -128,7 +130,7 @@
     const id = `${kind}-${this.#order}`
     this.#arrivedAt.set(id, this.#now())
     const workClass = kind === 'read' ? this.#shape.classTargets.name : className(WRITE_CLASS)
-    // Sixteen sessions: a read mostly follows some other session's write.
+    // With 16 sessions, the last write before a read is mostly from another session.
     const session = sessionId(`s${Math.floor(this.#random.next() * 16)}`)
     const { sessions } = this.#shape
     const send = (): void => {
@@ -141,21 +143,21 @@
         class: workClass,
       })
     }
-    if (sessions === 'holder') this.#askHolder(send)
+    if (sessions === 'holder') this.#queryHolder(send)
     else send()
   }
 
-  /** Holders are spread evenly over the zones, as entry hosts are. */
-  #askHolder(then: () => void): void {
+  /** Holders are distributed evenly over the zones, like entry hosts. */
+  #queryHolder(then: () => void): void {
     const zone = BENCH_SERVERS[Math.floor(this.#random.next() * BENCH_SERVERS.length)] ?? 'a'
-    this.#after(2 * this.#delayTo(zone), then)
+    this.#schedule(2 * this.#delayTo(zone), then)
   }
 
-  #carryOut(effects: readonly ProxyEffect[]): void {
+  #executeEffects(effects: readonly ProxyEffect[]): void {
     for (const effect of effects) {
       switch (effect.kind) {
         case 'open':
-          this.#after(10, () => {
+          this.#schedule(10, () => {
             this.#bench.send({ kind: 'connectionOpened', connection: effect.connection })
           })
           break
@@ -178,16 +180,16 @@
           assertNever(effect)
       }
     }
-    this.#planWake()
+    this.#scheduleWake()
   }
 
   #answerPosition(server: BenchServer): void {
     const askedAt = this.#now()
     const delay = this.#delayTo(server)
-    this.#after(delay, () => {
+    this.#schedule(delay, () => {
       const offset = this.#offsetOf(server)
-      this.#after(delay, () => {
-        this.#bench.answer(server, offset, askedAt)
+      this.#schedule(delay, () => {
+        this.#bench.reportPosition(server, offset, askedAt)
       })
     })
   }
@@ -195,23 +197,23 @@
   #runRequest(request: string, server: BenchServer): void {
     const delay = this.#delayTo(server)
     const isWrite = request.startsWith('write')
-    this.#after(delay + SERVICE_MILLISECONDS, () => {
+    this.#schedule(delay + SERVICE_MILLISECONDS, () => {
       if (isWrite) this.#commits.push(this.#now())
       const offset = isWrite ? this.#commits.length : null
-      this.#after(delay, () => {
-        if (!isWrite) this.#readDone(request, server)
-        this.#bench.ran(request, offset)
+      this.#schedule(delay, () => {
+        if (!isWrite) this.#recordRead(request, server)
+        this.#bench.completeRequest(request, offset)
       })
     })
   }
 
-  #readDone(request: string, server: BenchServer): void {
+  #recordRead(request: string, server: BenchServer): void {
     if (!this.#isMeasured()) return
     this.#latencies.push(this.#now() - (this.#arrivedAt.get(request) ?? 0))
     if (server !== 'a') this.#replicaReads += 1
   }
 
-  /** How many writes the server holds: a replica, those older than its lag. */
+  /** Number of writes that the server has; a replica has those older than its lag. */
   #offsetOf(server: BenchServer): number {
     if (server === 'a') return this.#commits.length
     const { nearLagMilliseconds, farLagMilliseconds } = this.#shape
@@ -229,11 +231,11 @@
     return isSameZone ? IN_ZONE_MILLISECONDS : BETWEEN_ZONES_MILLISECONDS
   }
 
-  #planWake(): void {
+  #scheduleWake(): void {
     const wake = this.#bench.core.nextWake(this.#bench.clock.now())
     if (wake === null || wake >= this.#wakeAt) return
     this.#wakeAt = wake
-    this.#after(Math.max(wake - this.#now(), 0.05), () => {
+    this.#schedule(Math.max(wake - this.#now(), 0.05), () => {
       if (this.#wakeAt !== wake) return
       this.#wakeAt = Number.POSITIVE_INFINITY
       this.#bench.send({ kind: 'tick' })
@@ -244,9 +246,9 @@
     return this.#now() >= WARM_UP_MILLISECONDS
   }
 
-  #after(delay: number, happen: () => void): void {
+  #schedule(delay: number, happen: () => void): void {
     this.#order += 1
-    this.#events.push({ at: this.#now() + delay, order: this.#order, happen })
+    this.#events.push({ at: this.#now() + delay, order: this.#order, action: happen })
   }
 
   #now(): number {
--- a/packages/bench/src/workload/callerLoad.ts
+++ b/packages/bench/src/workload/callerLoad.ts
@@ -1,4 +1,7 @@
-/** Callers that write and read through all proxies of a deployment until they are told to stop. */
+/**
+ * Generates load through all proxies of a deployment until it is stopped, and records each
+ * operation.
+ */
 import { setTimeout as delay } from 'node:timers/promises'
 import {
   SeededRandom,
@@ -12,26 +15,30 @@
 import { LOOPBACK } from '../deployment/platform.js'
 import type { Operation } from './operation.js'
 import { ProbePool } from './probePool.js'
-import { SessionCaller, type ProxyPlace } from './sessionCaller.js'
+import { SessionCaller, type ProxyAddress } from './sessionCaller.js'
 
 export interface CallerLoadOptions {
   readonly sessionsPerDatabase: number
-  /** Pause of a session between two requests. */
+  /** Pause between two requests of a session. */
   readonly thinkMilliseconds: number
   readonly seed: number
   readonly writeClass: string
   readonly readClass: string
-  /** Sends a write this often whatever became of the last ones; absent: not at all. */
+  /**
+   * Interval of probe writes, sent whether or not earlier ones were answered. Absent: no probes.
+   */
   readonly probeMilliseconds?: number
-  /** Tells one load's records from another's. */
+  /** Prefix of the session ids, which distinguishes the records of several loads. */
   readonly name?: string
 }
 
 const CONNECT_TIMEOUT_MILLISECONDS = 3000
 const PAUSE_AFTER_REFUSAL_MILLISECONDS = 50
-const LONGEST_PAUSE_MILLISECONDS = 500
-/** Requests still unanswered this long after the stop are given up as unknown. */
-const STOP_PATIENCE_MILLISECONDS = 10_000
+const MAX_PAUSE_MILLISECONDS = 500
+/**
+ * Requests that are unanswered this long after the stop are abandoned; their outcome is unknown.
+ */
+const STOP_TIMEOUT_MILLISECONDS = 10_000
 const EVENT_SHARE = 0.4
 const COUNTER_SHARE = 0.3
 
@@ -48,8 +55,8 @@
   }
 
   /**
-   * Half of the sessions are open at every proxy at once and pick one for each request; the others
-   * stay with one proxy each.
+   * Half of the sessions connect to all proxies and pick one for each request; the others use a
+   * single proxy each.
    */
   static start(deployment: Deployment, options: CallerLoadOptions): CallerLoad {
     const load = new CallerLoad(options)
@@ -60,8 +67,8 @@
     let seed = options.seed
     for (const database of deployment.plan.databases) {
       for (let index = 0; index < options.sessionsPerDatabase; index += 1) {
-        const home = proxies.filter((_, at) => at === index % proxies.length)
-        const used = index % 2 === 0 ? proxies : home
+        const fixedProxy = proxies.filter((_, at) => at === index % proxies.length)
+        const used = index % 2 === 0 ? proxies : fixedProxy
         load.#startSession(database, `${options.name ?? 'session'}-${index}`, used, seed)
         seed += 1
       }
@@ -80,13 +87,13 @@
 
   async stop(): Promise<readonly Operation[]> {
     this.#stopping = true
-    const patience = new AbortController()
+    const timeout = new AbortController()
     const finished = Promise.all(this.#loops)
     await Promise.race([
       finished,
-      delay(STOP_PATIENCE_MILLISECONDS, undefined, { signal: patience.signal }),
+      delay(STOP_TIMEOUT_MILLISECONDS, undefined, { signal: timeout.signal }),
     ])
-    patience.abort()
+    timeout.abort()
     await Promise.all(this.#callers.map(caller => caller.close()))
     await finished
     return this.#operations
@@ -95,7 +102,7 @@
   #startSession(
     database: PlannedDatabase,
     name: string,
-    proxies: readonly ProxyPlace[],
+    proxies: readonly ProxyAddress[],
     seed: number,
   ): void {
     const random = new SeededRandom(seed)
@@ -103,13 +110,13 @@
     this.#loops.push(this.#run(caller, random))
   }
 
-  /** A probe that waits for its answer holds up no other: they show when writes succeed again. */
-  #startProbe(database: PlannedDatabase, proxies: readonly ProxyPlace[]): void {
+  /** Probes do not wait for each other, so that they show when writes succeed again. */
+  #startProbe(database: PlannedDatabase, proxies: readonly ProxyAddress[]): void {
     const interval = this.#options.probeMilliseconds
     if (interval === undefined) return
-    const pools = proxies.map(place => {
+    const pools = proxies.map(proxy => {
       const make = (index: number): SessionCaller =>
-        this.#newCaller(database, `probe-${place.port}-${index}`, [place], new SeededRandom(index))
+        this.#newCaller(database, `probe-${proxy.port}-${index}`, [proxy], new SeededRandom(index))
       return new ProbePool(make)
     })
     this.#loops.push(this.#probe(pools, interval))
@@ -126,16 +133,16 @@
   }
 
   async #probeOnce(pool: ProbePool | undefined): Promise<void> {
-    const caller = pool?.take() ?? null
+    const caller = pool?.acquire() ?? null
     if (pool === undefined || caller === null) return
     this.#operations.push(await caller.writeEvent(this.#options.writeClass))
-    pool.giveBack(caller)
+    pool.release(caller)
   }
 
   #newCaller(
     database: PlannedDatabase,
     name: string,
-    proxies: readonly ProxyPlace[],
+    proxies: readonly ProxyAddress[],
     random: RandomSource,
   ): SessionCaller {
     const caller = new SessionCaller(
@@ -171,6 +178,6 @@
   #pauseAfter({ outcome }: Operation): number {
     if (outcome.kind === 'acknowledged') return this.#options.thinkMilliseconds
     const wanted = outcome.kind === 'notRun' ? outcome.retryAfterMilliseconds : null
-    return Math.min(wanted ?? PAUSE_AFTER_REFUSAL_MILLISECONDS, LONGEST_PAUSE_MILLISECONDS)
+    return Math.min(wanted ?? PAUSE_AFTER_REFUSAL_MILLISECONDS, MAX_PAUSE_MILLISECONDS)
   }
 }
--- a/packages/bench/src/workload/probePool.ts
+++ b/packages/bench/src/workload/probePool.ts
@@ -1,8 +1,8 @@
-/** Callers that wait for their turn to probe one proxy. */
+/** Pool of callers that probe one proxy. */
 import type { SessionCaller } from './sessionCaller.js'
 
-/** Probes that hang longer than this many intervals leave the proxy without new ones. */
-const LARGEST_POOL = 60
+/** No new probe is sent to the proxy while this many are unanswered. */
+const MAX_CALLERS = 60
 
 export class ProbePool {
   readonly #make: (index: number) => SessionCaller
@@ -13,16 +13,16 @@
     this.#make = make
   }
 
-  /** Null when too many are under way. */
-  take(): SessionCaller | null {
+  /** Returns null if too many callers are in use. */
+  acquire(): SessionCaller | null {
     const idle = this.#idle.pop()
     if (idle !== undefined) return idle
-    if (this.#made >= LARGEST_POOL) return null
+    if (this.#made >= MAX_CALLERS) return null
     this.#made += 1
     return this.#make(this.#made)
   }
 
-  giveBack(caller: SessionCaller): void {
+  release(caller: SessionCaller): void {
     this.#idle.push(caller)
   }
 }
--- a/packages/bench/src/workload/writeSilence.ts
+++ b/packages/bench/src/workload/writeGap.ts
@@ -1,12 +1,12 @@
-/** How long writes did not succeed, as callers saw it. */
+/** Measures how long writes did not succeed, as seen by callers. */
 import type { Milliseconds } from '@nutmegcourse/shared'
 import type { Operation } from './operation.js'
 
 /**
- * The longest time between two acknowledgements of writes that follow each other, of which the
- * second came after `from`. It does not depend on when exactly the fault struck. Milliseconds.
+ * The longest time in milliseconds between two consecutive acknowledgements of writes, the second
+ * of which came after `from`. Independent of the exact time of the fault.
  */
-export function longestWriteSilence(
+export function longestWriteGap(
   operations: readonly Operation[],
   database: string,
   from: Milliseconds,
@@ -16,6 +16,6 @@
     .filter(operation => operation.outcome.kind === 'acknowledged')
     .map(operation => operation.endedAt)
     .sort((left, right) => left - right)
-  const silences = ends.slice(1).map((end, index) => (end > from ? end - (ends[index] ?? end) : 0))
-  return Math.max(0, ...silences)
+  const gaps = ends.slice(1).map((end, index) => (end > from ? end - (ends[index] ?? end) : 0))
+  return Math.max(0, ...gaps)
 }
