--- a/packages/coordination/src/configurationCore.ts
+++ b/packages/coordination/src/configurationCore.ts
@@ -55,7 +55,7 @@
    * The targets that this host applies: the newest ones while they are confirmed. Without
    * confirmation a newer version may be in force elsewhere, and this host may be the only one that
    * still applies a target loosened by the last change it received; it applies the stricter of that
-   * change and the one before.
+   * version and the one before.
    */
   inForce(now: Milliseconds): VersionedTargets | null {
     if (this.#newest === null) return null
--- a/packages/coordination/src/failoverAgreement.ts
+++ b/packages/coordination/src/failoverAgreement.ts
@@ -106,17 +106,17 @@
   /** How many of the watchers that suspect the primary rank before this one. */
   rankAmongSuspecting(now: Milliseconds): number {
     const suspecting = this.#suspecting(now)
-    const place = suspecting.findIndex(watcher => watcher.entryHost === this.#self.entryHost)
-    return place === -1 ? suspecting.length : place
+    const index = suspecting.findIndex(watcher => watcher.entryHost === this.#self.entryHost)
+    return index === -1 ? suspecting.length : index
   }
 
   nextWake(): Milliseconds | null {
     if (this.#subject === null) return null
     if (this.#lastSentAt === null) return milliseconds(0)
-    const repetition = addMilliseconds(this.#lastSentAt, this.#options.opinionIntervalMilliseconds)
-    if (this.#suspectedSince === null || this.#agreedSince !== null) return repetition
-    const alone = this.#suspectedSince + this.#options.soleWatcherMilliseconds
-    return milliseconds(alone > this.#lastSentAt ? Math.min(repetition, alone) : repetition)
+    const resendAt = addMilliseconds(this.#lastSentAt, this.#options.opinionIntervalMilliseconds)
+    if (this.#suspectedSince === null || this.#agreedSince !== null) return resendAt
+    const actsAloneAt = this.#suspectedSince + this.#options.soleWatcherMilliseconds
+    return milliseconds(actsAloneAt > this.#lastSentAt ? Math.min(resendAt, actsAloneAt) : resendAt)
   }
 
   /**
--- a/packages/coordination/src/failoverAttempt.ts
+++ b/packages/coordination/src/failoverAttempt.ts
@@ -4,7 +4,7 @@
  *
  * Safety depends on the backend servers alone. The term belongs to this attempt only. A server that
  * is fenced at a term promises it, as an acceptor promises a Paxos ballot, and can be promoted only
- * while that is the newest term it has promised. A coordinator that was frozen between two steps
+ * while that is the newest term it has promised. A coordinator that stalled between two steps
  * therefore finds its term refused. Once a majority is fenced at the later of two concurrent
  * attempts, a primary that the earlier one still promotes cannot have writes confirmed by a majority.
  */
@@ -54,7 +54,7 @@
 }
 
 const NO_RESULT: AttemptResult = { kind: 'none' }
-/** Added to a call's own timeout, within which the caller should have reported the failure. */
+/** Added to a call's own timeout, so that the agent's report of the failure normally arrives first. */
 const CALL_TIMEOUT_MARGIN_MILLISECONDS = 100
 
 export class FailoverAttempt {
--- a/packages/coordination/src/failoverChangeController.ts
+++ b/packages/coordination/src/failoverChangeController.ts
@@ -71,7 +71,7 @@
     }
   }
 
-  /** Called when a primary leads: the next change starts without the back-off of this one. */
+  /** Called when a primary leads: the back-off after later failures starts from its first delay again. */
   resetRetries(): void {
     this.#failures = 0
   }
--- a/packages/coordination/src/failoverFollowers.ts
+++ b/packages/coordination/src/failoverFollowers.ts
@@ -34,7 +34,7 @@
 }
 
 const MAX_RETRY_FACTOR = 16
-/** Added to a watcher's delay for each watcher that ranks before it. */
+/** Added to a watcher's delay for each watcher that should act before it. */
 const RANK_DELAY_MILLISECONDS = 100
 
 export class FailoverFollowers {
@@ -95,7 +95,7 @@
     if (this.#leadership === null || server === this.#leadership.primary) return
     const follower = this.#followerOf(server, now)
     follower.hasRestarted = true
-    // Its next report is where it starts and no progress, even if it is past the last one seen.
+    // Its next report is its starting position, not progress, even if it is past the last one seen.
     follower.position = null
     follower.notBefore = now
   }
@@ -155,16 +155,16 @@
     now: Milliseconds,
   ): boolean {
     const term = this.#leadership?.term ?? report.fencedTerm
-    // It has promised a newer term than this one; only a leader of that term may take it.
+    // It has promised a newer term than this one; only a leader of that term may make it follow.
     if (report.fencedTerm > term) return false
     if (follower.isFollowPending || follower.hasRestarted) return true
     if (report.role === 'primary' || report.fencedTerm < term) return true
     if (primary === null || comparePositions(report.position, primary.position) >= 0) return false
     const { stalledReplicaMilliseconds, stuckChangeMilliseconds } = this.#options
-    // A log without a record of this term suggests that `follow` was never sent: its coordinator
-    // may have been lost before.
-    const hasEntered = report.position.term === term
-    const bound = hasEntered ? stalledReplicaMilliseconds : stuckChangeMilliseconds
+    // A log without a record of this term suggests that `follow` was never sent: the coordinator
+    // may have been lost before it sent it.
+    const hasRecordOfTerm = report.position.term === term
+    const bound = hasRecordOfTerm ? stalledReplicaMilliseconds : stuckChangeMilliseconds
     return now - follower.advancedAt >= bound
   }
 
--- a/packages/coordination/src/failoverGroup.ts
+++ b/packages/coordination/src/failoverGroup.ts
@@ -140,7 +140,10 @@
     return times.length === 0 ? null : milliseconds(Math.min(...times))
   }
 
-  /** The server that leads the newest term by its own report, unless it is fenced above that term. */
+  /**
+   * The reachable server that by its own report leads the newest term. A server that is fenced above
+   * the term that it leads does not count.
+   */
   findLeader(now: Milliseconds): FoundLeader | null {
     let found: FoundLeader | null = null
     for (const [server, watch] of this.#watches) {
--- a/packages/coordination/src/failoverLeaderSearch.ts
+++ b/packages/coordination/src/failoverLeaderSearch.ts
@@ -1,8 +1,8 @@
 /**
  * Finds a primary that leads without a record of it, and completes its record.
  *
- * A coordinator may be lost after its promotion took effect and before it was announced. The leader
- * then reports its term itself; since a term has only one leader, its report is sufficient.
+ * A coordinator may be lost after the promotion took effect and before it announced the new leader.
+ * The leader then reports its term itself; since a term has only one leader, its report is sufficient.
  */
 import type { BackendServerId, Milliseconds, Term } from '@nutmegcourse/shared'
 import type { GroupRecord } from '@nutmegcourse/protocol'
--- a/packages/coordination/src/failoverReason.ts
+++ b/packages/coordination/src/failoverReason.ts
@@ -30,7 +30,7 @@
 }
 
 /**
- * The coordinator was lost between two steps: no server may lead, and proxies hold writes. An
+ * The coordinator was lost between two steps: possibly no server leads, and proxies hold writes. An
  * attempt at a newer term takes over; if the coordinator resumes, its steps carry the older term and
  * fail.
  */
--- a/packages/coordination/src/failoverRecordStoreClient.ts
+++ b/packages/coordination/src/failoverRecordStoreClient.ts
@@ -30,7 +30,7 @@
   | { readonly kind: 'empty' }
 
 const MAX_RETRY_FACTOR = 8
-/** Added to a call's own timeout, within which the caller should have reported the failure. */
+/** Added to a call's own timeout, so that the agent's report of the failure normally arrives first. */
 const CALL_TIMEOUT_MARGIN_MILLISECONDS = 200
 
 export class FailoverRecordStoreClient {
--- a/packages/coordination/src/failoverRecordTracker.ts
+++ b/packages/coordination/src/failoverRecordTracker.ts
@@ -108,8 +108,8 @@
     this.#update(stored, rank, now)
     const known = this.#known
     if (known === null) return
-    const isBehind = isNewerRecord({ record: known.record, revision: stored.revision }, stored)
-    if (!isBehind) this.#storeCheckAt = null
+    const isStoreBehind = isNewerRecord({ record: known.record, revision: stored.revision }, stored)
+    if (!isStoreBehind) this.#storeCheckAt = null
     else if (this.#store.pendingRecord === null) this.#store.write(known.record, now)
   }
 
@@ -138,7 +138,7 @@
     this.#onChanged(known.record, now)
   }
 
-  /** Every watcher checks that the store holds the known record, in case its author has failed. */
+  /** Every watcher checks that the store holds the known record, as the watcher that made it may have failed. */
   #checkStore(now: Milliseconds): void {
     if (this.#known === null && !this.#isStoreEmpty) this.#store.read(now)
     if (this.#storeCheckAt === null || now < this.#storeCheckAt) return
--- a/packages/coordination/src/failoverServerWatch.ts
+++ b/packages/coordination/src/failoverServerWatch.ts
@@ -21,7 +21,7 @@
 const FAST_POLL_INTERVAL_MILLISECONDS = 5
 /** The time within which the other watchers' opinions of a suspected primary should arrive. */
 const OPINION_WAIT_MILLISECONDS = 150
-/** Added to a request's own timeout, within which the caller should have reported the failure. */
+/** Added to a request's own timeout, so that the agent's report of the failure normally arrives first. */
 const POLL_TIMEOUT_MARGIN_MILLISECONDS = 200
 
 export class FailoverServerWatch {
--- a/packages/coordination/src/gossipCore.ts
+++ b/packages/coordination/src/gossipCore.ts
@@ -124,9 +124,9 @@
   }
 
   /**
-   * A few items are a push that was interrupted, for example by a network partition, and are relayed
-   * further. Many items are a whole state that this host lacked; if they were relayed, a host that
-   * joins would send the whole state to every neighbour.
+   * A few items are what an interrupted push did not deliver, for example because of a network
+   * partition, and are relayed. Many items are a whole state that this host lacked; if they were
+   * relayed, a host that joins would send the whole state to every neighbour.
    */
   #receiveFetched(items: readonly GossipItem[], from: EntryHostId): readonly GossipEffect[] {
     if (items.length <= RELAYED_ITEMS_LIMIT) return this.#learn(items, from)
--- a/packages/coordination/src/indirectProbes.ts
+++ b/packages/coordination/src/indirectProbes.ts
@@ -18,9 +18,9 @@
     return this.#open.has(subject)
   }
 
-  open(subject: EntryHostId, helpers: number, now: Milliseconds): void {
+  open(subject: EntryHostId, helperCount: number, now: Milliseconds): void {
     const deadline = (now + this.#timeoutMilliseconds) as Milliseconds
-    this.#open.set(subject, { deadline, pendingHelpers: helpers })
+    this.#open.set(subject, { deadline, pendingHelpers: helperCount })
   }
 
   close(subject: EntryHostId): void {
--- a/packages/coordination/src/membershipCore.ts
+++ b/packages/coordination/src/membershipCore.ts
@@ -1,6 +1,6 @@
 /**
- * One host's view of which entry hosts are alive. Each host monitors its
- * direct neighbours by heartbeat. Before a silent neighbour is declared failed, a few helpers probe it
+ * One host's view of which entry hosts are alive. Each host monitors its direct neighbours by
+ * heartbeat. Before a silent neighbour is declared failed, a few other hosts, its helpers, probe it
  * indirectly; only the host itself can refute the failure, with a newer incarnation.
  * Sans-I/O: takes one message and the time, returns effects.
  */
@@ -117,7 +117,7 @@
     return holders.size
   }
 
-  /** The address of the host's agent; the host list goes first, as its address is valid from this zone. */
+  /** The agent's address; the host list takes precedence, as its address is valid from this zone. */
   endpointOf(host: EntryHostId): { readonly address: string; readonly port: number } | null {
     return this.#listed.get(host) ?? this.#members.get(host) ?? null
   }
@@ -220,21 +220,18 @@
   }
 
   /** The end of the settling time changes the set of workers. */
-  #settlingChange(now: Milliseconds, former: Milliseconds): readonly MembershipEffect[] {
+  #settlingChange(now: Milliseconds, lastTickAt: Milliseconds): readonly MembershipEffect[] {
     const end = this.#startedAt + this.#options.settlingMilliseconds
-    return former < end && now >= end ? [changed('settled', this.#self.entryHost)] : []
+    return lastTickAt < end && now >= end ? [changed('settled', this.#self.entryHost)] : []
   }
 
   #tick(now: Milliseconds): readonly MembershipEffect[] {
-    const {
-      heartbeatIntervalMilliseconds,
-      stallHeartbeats: pauseHeartbeats,
-      retryIntervalMilliseconds,
-    } = this.#options
-    const former = this.#lastTickAt
-    const gap = now - former
+    const { heartbeatIntervalMilliseconds, stallHeartbeats, retryIntervalMilliseconds } =
+      this.#options
+    const lastTickAt = this.#lastTickAt
+    const gap = now - lastTickAt
     this.#lastTickAt = now
-    if (gap > pauseHeartbeats * heartbeatIntervalMilliseconds) this.#resetSilenceTimers(now)
+    if (gap > stallHeartbeats * heartbeatIntervalMilliseconds) this.#resetSilenceTimers(now)
     if (now >= this.#retryAt) {
       this.#retriedHost = this.#pickHostToRetry()
       this.#retryAt = (now + retryIntervalMilliseconds) as Milliseconds
@@ -242,7 +239,7 @@
     const effects = this.#silentPeers(now).flatMap(peer => this.#startIndirectProbe(peer, now))
     const unreachable = this.#indirectProbes.expired(now)
     return [
-      ...this.#settlingChange(now, former),
+      ...this.#settlingChange(now, lastTickAt),
       ...effects,
       ...unreachable.flatMap(peer => this.#declareFailed(peer, now)),
       ...this.#forgetUnavailable(now),
@@ -305,7 +302,8 @@
     if (!this.#indirectProbes.isOpen(subject)) return []
     if (reached) {
       this.#indirectProbes.close(subject)
-      // Alive, though this host receives nothing from it: it is probed again after another silence.
+      // The subject is alive, though this host receives nothing from it. It is probed again after
+      // another silence.
       if (this.#lastHeardAt.has(subject)) this.#lastHeardAt.set(subject, now)
       return []
     }
--- a/packages/coordination/src/membershipOptions.ts
+++ b/packages/coordination/src/membershipOptions.ts
@@ -7,6 +7,7 @@
   readonly silentHeartbeats: number
   /** Time for helpers to reach the host, or for a message of the host to arrive, before it is declared failed. */
   readonly indirectProbeMilliseconds: number
+  /** Number of hosts that are asked to probe one silent host. */
   readonly helpers: number
   /** A gap between ticks that is longer than this number of heartbeat intervals counts as a stall of this process. */
   readonly stallHeartbeats: number
--- a/packages/coordination/src/synchronous/primaryChange.ts
+++ b/packages/coordination/src/synchronous/primaryChange.ts
@@ -12,8 +12,8 @@
  *
  * An unreachable replica may hold, and go on acknowledging, writes that no other replica has. Then only
  * the position of the old primary decides: it steps down, which ends its writes, and the candidate must
- * reach its position. A live primary keeps serving through steps 1 to 3 until the promotion takes
- * effect, so a planned move hardly interrupts writes.
+ * reach its position. A live primary keeps acknowledging writes through steps 1 and 2; only step 3, or
+ * its stepping down, stops it before the promotion, so a planned move hardly interrupts writes.
  */
 import { err, ok, type Result } from 'neverthrow'
 import {
@@ -63,6 +63,7 @@
   | { readonly kind: 'noReplica' }
   /** A server that may hold more writes could be neither paused nor made to step down. */
   | { readonly kind: 'unknownReplica'; readonly server: BackendServerId }
+  /** The candidate did not reach the last position of the old primary. */
   | { readonly kind: 'notCaughtUp'; readonly server: BackendServerId }
 
 /** Number of times a candidate that is behind is queried before the change continues another way or fails. */
@@ -84,8 +85,8 @@
   /** Chooses the server to promote, and pauses or stops the others so that it remains safe to promote. */
   async choose(): Promise<Result<ChosenPrimary, ChoiceFailure>> {
     const { replicas, oldPrimary } = this.#plan
-    const asked = await Promise.all(replicas.map(member => this.#requestReport(member)))
-    const known = asked.filter(replica => replica !== null)
+    const replies = await Promise.all(replicas.map(member => this.#requestReport(member)))
+    const known = replies.filter(replica => replica !== null)
     const [candidate] = rank(known)
     if (candidate === undefined) return err({ kind: 'noReplica' })
     const nextTerm = term(Math.max(...known.map(newestTerm)) + 1)
@@ -115,8 +116,8 @@
     mayCatchUp: boolean,
   ): Promise<ChosenPrimary | null> {
     const attempts = mayCatchUp ? CATCH_UP_ATTEMPTS : 1
-    for (let asked = 0; asked < attempts; asked += 1) {
-      if (asked > 0) await this.#commands.waitBeforeRetry()
+    for (let attempt = 0; attempt < attempts; attempt += 1) {
+      if (attempt > 0) await this.#commands.waitBeforeRetry()
       const report = await this.#commands.report(candidate.server)
       if (report?.pausedFor !== 0) return null
       const holdsAll = paused.every(other => isAtOrPast(report.received, other.report.received))
@@ -135,7 +136,7 @@
     const last = await this.#pause(candidate, nextTerm)
     if (last === null) return err({ kind: 'unknownReplica', server: candidate.server })
     const all = [last, ...paused]
-    const [furthest] = [...all].sort(byPosition)
+    const [furthest] = [...all].sort(byExactPosition)
     if (furthest === undefined) return err({ kind: 'noReplica' })
     return ok(chosenPrimary(furthest, all, 'furthestOfAll'))
   }
@@ -150,7 +151,7 @@
     if (oldPrimary === null) return err(failure)
     const last = await this.#commands.stepDown(oldPrimary, nextTerm)
     if (last?.role !== 'replica') return err(failure)
-    for (let asked = 0; asked < CATCH_UP_ATTEMPTS; asked += 1) {
+    for (let attempt = 0; attempt < CATCH_UP_ATTEMPTS; attempt += 1) {
       const report = await this.#commands.report(candidate.server)
       if (report !== null && isAtOrPast(report.received, last.received)) {
         return ok(chosenPrimary({ ...candidate, report }, [], 'oldPrimarySteppedDown'))
@@ -173,26 +174,29 @@
  */
 const SIMILAR_POSITION_RECORDS = 20
 
-/** Servers that stay and can still receive come first, then those not far behind, then those with the better location. */
+/**
+ * Servers that are neither leaving nor paused come first, then those not far behind, then those with
+ * the better location.
+ */
 function rank(replicas: readonly Replica[]): Replica[] {
   return [...replicas].sort(
     (left, right) =>
       Number(left.isLeaving) - Number(right.isLeaving) ||
       Number(left.report.pausedFor !== 0) - Number(right.report.pausedFor !== 0) ||
-      byReceivedPosition(left, right) ||
+      byApproximatePosition(left, right) ||
       left.distance - right.distance ||
-      byPosition(left, right),
+      byExactPosition(left, right),
   )
 }
 
-function byReceivedPosition(left: Replica, right: Replica): number {
+function byApproximatePosition(left: Replica, right: Replica): number {
   const [one, other] = [left.report.received, right.report.received]
   if (one.term !== other.term) return other.term - one.term
   const difference = other.offset - one.offset
   return Math.abs(difference) <= SIMILAR_POSITION_RECORDS ? 0 : difference
 }
 
-const byPosition = (left: Replica, right: Replica): number =>
+const byExactPosition = (left: Replica, right: Replica): number =>
   comparePositions(right.report.received, left.report.received) ||
   Number(left.isLeaving) - Number(right.isLeaving) ||
   left.distance - right.distance
--- a/packages/coordination/src/synchronous/primarySuspicion.ts
+++ b/packages/coordination/src/synchronous/primarySuspicion.ts
@@ -2,7 +2,7 @@
  * Decides when a silent primary is to be replaced. One host's view does not suffice at first: a host
  * that is cut off from a healthy primary would replace it for all others. Hosts therefore publish
  * through the store which primary they get no answer from, and hosts that reach it publish a denial.
- * They act when the hosts that lost it outnumber those that reach it; a host that receives no votes
+ * They act when the hosts that lost it outnumber those that reach it; without a quorum of votes a host
  * acts later.
  */
 import type { BackendServerId, Milliseconds } from '@nutmegcourse/shared'
@@ -28,10 +28,10 @@
 const DENIAL_WINDOW_MILLISECONDS = 200
 
 /**
- * A host whose suspicion no other host shares acts alone after this delay. The others reach the
- * primary, or cannot report that they do not because they are down or the store rejects them. A change
- * may cut off hosts that reach the old primary from the new one, so the host acts only if it cannot
- * reach the primary through them.
+ * A host whose suspicion is not shared by a quorum acts after this delay. The others reach the primary,
+ * or cannot report that they do not because they are down or the store rejects them. A change may cut
+ * off hosts that reach the old primary from the new one, so the host acts only if it cannot reach the
+ * primary through them.
  */
 const SINGLE_HOST_DELAY_MILLISECONDS = 2500
 
--- a/packages/coordination/src/synchronous/serviceOwners.ts
+++ b/packages/coordination/src/synchronous/serviceOwners.ts
@@ -86,9 +86,9 @@
 ): string[] {
   const isFar = (host: string): number => (hosts.get(host)?.region === place.region ? 0 : 1)
   const subject = `${service} ${customer}`
-  const draw = (host: string): number =>
+  const score = (host: string): number =>
     rendezvousScore(host, subject, hosts.get(host)?.weight ?? 1)
-  return [...owners].sort((left, right) => isFar(left) - isFar(right) || draw(right) - draw(left))
+  return [...owners].sort((left, right) => isFar(left) - isFar(right) || score(right) - score(left))
 }
 
 function groupByZone(
--- a/packages/coordination/src/watchers.ts
+++ b/packages/coordination/src/watchers.ts
@@ -39,9 +39,10 @@
 
   /**
    * Watchers are placed in the zones of the database's servers that have live hosts, one per zone:
-   * they see what the servers see when a zone is cut off, and their requests stay off the billed link
-   * between regions. Other zones of the same regions come next, then the remaining zones, and only then
-   * a second host of a zone. The result is in the order in which the watchers try to coordinate.
+   * they see what the servers see when a zone is cut off, and no requests cross the billed link from a
+   * region without servers. Other zones of the same regions come next, then the remaining zones, and
+   * only then a second host of a zone. The result is in the order in which the watchers try to
+   * coordinate.
    */
   watchersOf(database: DatabaseId, servers: readonly ServerLocation[]): readonly Watcher[] {
     const databaseHash = stableHash(database)
