--- a/packages/coordination/__tests__/configuration.spec.ts
+++ b/packages/coordination/__tests__/configuration.spec.ts
@@ -125,8 +125,7 @@
     expect([first.change, second.change]).toEqual(['ours', 'ours'])
   })
 
-  // The change took effect, but its answer was lost, and the operator repeated it on top of the stored
-  // version. Readers see a single change, identified by its id.
+  // The change took effect, but its answer was lost. Hosts apply it like any other, identified by its id.
   it('treats a change whose answer was lost as accepted', () => {
     const { store, first } = start()
     store.compareAndSwap(documentOf(1, 'base'), 0)
@@ -186,11 +185,11 @@
     expect([first.version, store.document.version]).toEqual([4, 4])
   })
 
-  // The same on a host that started after the restored versions were written: it knows them from the
-  // history that the newest document carries.
+  // A host that started after the versions on the restored copy were written knows their change ids only
+  // from the history that the newest document carries.
   for (const { name, stored, change } of [
     { name: 'an older copy', stored: documentOf(2, 'second'), change: 'third' },
-    { name: 'a change on top of one', stored: documentOf(2, 'other'), change: 'other' },
+    { name: 'a change on top of an older copy', stored: documentOf(2, 'other'), change: 'other' },
   ]) {
     it(`recognises ${name} by the history in the newest document`, () => {
       const { store, first } = start()
@@ -215,7 +214,7 @@
 
   // A zone is cut off while an operator changes the targets. The hosts in it cannot know of the change;
   // they report their targets as unconfirmed within the time limit, and from then on do not use
-  // anything that the last change they received had loosened.
+  // what the last change they received had loosened.
   const loosenings: readonly {
     readonly name: string
     readonly before: Partial<ClassTargets>
@@ -241,13 +240,13 @@
       unconfirmed: gallery({ latencyMilliseconds: 100 }),
     },
     {
-      name: 'repetition',
+      name: 'retries',
       before: { idempotent: false },
       after: { idempotent: true },
       unconfirmed: gallery({ idempotent: false }),
     },
     {
-      name: 'no more than before and tightened freshness',
+      name: 'only fresher data',
       before: { freshnessMilliseconds: 5000 },
       after: { freshnessMilliseconds: 500 },
       unconfirmed: gallery({ freshnessMilliseconds: 500 }),
--- a/packages/coordination/__tests__/failoverGap.spec.ts
+++ b/packages/coordination/__tests__/failoverGap.spec.ts
@@ -23,12 +23,12 @@
 }
 
 function measure(
-  place: ZoneLayout,
+  layout: ZoneLayout,
   primary: number,
   failure: Failure,
   waitsForStore: boolean,
 ): FailoverSimulation {
-  const simulation = new FailoverSimulation({ place, primary })
+  const simulation = new FailoverSimulation({ layout, primary })
   if (waitsForStore) waitForStore(simulation)
   simulation.runFor(1_040)
   failure.act(simulation)
@@ -97,17 +97,17 @@
       gapBelow: 200,
     },
   ]
-  const places = [
-    { name: 'Atlas Quai', place: ATLAS_QUAI },
-    { name: 'Shutterbaithak', place: SHUTTERBAITHAK },
+  const layouts = [
+    { name: 'Atlas Quai', layout: ATLAS_QUAI },
+    { name: 'Shutterbaithak', layout: SHUTTERBAITHAK },
   ]
-  for (const { name, place } of places) {
+  for (const { name, layout } of layouts) {
     for (const primary of [0, 2]) {
       for (const failure of failures) {
-        const zone = place.zones[primary] ?? ''
+        const zone = layout.zones[primary] ?? ''
         test(`limits the write gap in ${name} when the primary in ${zone} is ${failure.name}`, context => {
-          const simulation = measure(place, primary, failure, false)
-          const storeFirst = measure(place, primary, failure, true)
+          const simulation = measure(layout, primary, failure, false)
+          const storeFirst = measure(layout, primary, failure, true)
           context.diagnostic(describeGap(simulation, 1_040))
           context.diagnostic(`store first: ${describeGap(storeFirst, 1_040)}`)
           expect(simulation.lostOrDuplicatedWrites()).toEqual([])
--- a/packages/coordination/__tests__/failoverHealthy.spec.ts
+++ b/packages/coordination/__tests__/failoverHealthy.spec.ts
@@ -87,7 +87,7 @@
     expect(simulation.steps().includes('termTaken')).toEqual(false)
   })
 
-  test('does not suspect the primary when its own process stalled and timers run before sockets', () => {
+  test('does not suspect the primary when the watcher itself stalled and timers run before sockets', () => {
     const simulation = new FailoverSimulation({ watcherZones: ['tanger-sud'] })
     simulation.runFor(WARM_UP_MILLISECONDS)
     const { core } = simulation.node(0)
--- a/packages/coordination/__tests__/failoverMove.spec.ts
+++ b/packages/coordination/__tests__/failoverMove.spec.ts
@@ -218,7 +218,7 @@
 }
 
 function isSubsequence(wanted: readonly string[], all: readonly string[]): boolean {
-  let place = 0
-  for (const step of all) if (step === wanted[place]) place += 1
-  return place === wanted.length
+  let matched = 0
+  for (const step of all) if (step === wanted[matched]) matched += 1
+  return matched === wanted.length
 }
--- a/packages/coordination/__tests__/failoverSimulation.ts
+++ b/packages/coordination/__tests__/failoverSimulation.ts
@@ -47,7 +47,7 @@
 export interface SimulationOptions {
   readonly seed?: number
   readonly failover?: Partial<FailoverOptions>
-  readonly place?: ZoneLayout
+  readonly layout?: ZoneLayout
   /** The index of the server that leads at the start. */
   readonly primary?: number
   /** The zone of each watcher; by default one watcher in each zone. */
@@ -75,7 +75,7 @@
 
   constructor(options: SimulationOptions = {}) {
     this.#options = options
-    this.network = new VirtualNetwork(options.place ?? ATLAS_QUAI)
+    this.network = new VirtualNetwork(options.layout ?? ATLAS_QUAI)
     this.lag = [...(options.lag ?? [0, 0, 0])]
     const { zones } = this.network.layout
     this.servers = zones.map((zone, index) => makeServer(this.network, zone, index))
@@ -143,8 +143,8 @@
   }
 
   setLeaving(...indexes: readonly number[]): void {
-    this.#listedServers = this.#listedServers.map((server, place) =>
-      indexes.includes(place) ? { ...server, state: 'leaving' } : server,
+    this.#listedServers = this.#listedServers.map((server, index) =>
+      indexes.includes(index) ? { ...server, state: 'leaving' } : server,
     )
     this.nodes.forEach((_, host) => {
       this.send(host, { kind: 'backendServers', servers: this.#listedServers })
@@ -153,7 +153,7 @@
 
   /** Reduces the host list to the lines of the given servers. */
   listOnly(...indexes: readonly number[]): void {
-    const servers = this.#listedServers.filter((_, place) => indexes.includes(place))
+    const servers = this.#listedServers.filter((_, index) => indexes.includes(index))
     this.nodes.forEach((_, host) => {
       this.send(host, { kind: 'backendServers', servers })
     })
@@ -190,7 +190,7 @@
     return this.writers.gapSince(from)
   }
 
-  /** The longest such time of a single host, among those that are up and reachable. */
+  /** The longest time since `from` without an acknowledged write of a single host; skips unavailable hosts. */
   longestHostGapSince(from: number): number {
     const hosts = this.nodes.map(node => node.watcher.entryHost)
     const up = hosts.filter(host => !this.network.isUnavailable(host))
--- a/packages/coordination/__tests__/failoverStore.spec.ts
+++ b/packages/coordination/__tests__/failoverStore.spec.ts
@@ -73,7 +73,7 @@
     })
   }
 
-  test('stores the record by another watcher when the coordinator is killed before the store is back', () => {
+  test('lets another watcher store the record when the coordinator is killed before the store is back', () => {
     const simulation = new FailoverSimulation()
     simulation.runFor(WARM_UP_MILLISECONDS)
     simulation.store.state = 'down'
--- a/packages/coordination/__tests__/fleetSimulation.ts
+++ b/packages/coordination/__tests__/fleetSimulation.ts
@@ -159,8 +159,8 @@
         if (running.stalled) continue
         if ((this.#steps + index) % TICK_STEPS === 0)
           this.#handleMembership(running, { kind: 'tick' })
-        const every = HEARTBEAT_STEPS * running.membership.heartbeatIntervalMultiple
-        if ((this.#steps + index) % every === 0) this.#heartbeat(running)
+        const heartbeatSteps = HEARTBEAT_STEPS * running.membership.heartbeatIntervalMultiple
+        if ((this.#steps + index) % heartbeatSteps === 0) this.#heartbeat(running)
       }
     }
   }
@@ -246,7 +246,7 @@
     if (other === undefined || !this.#reaches(running, other)) {
       if (effect.kind === 'compare') this.#handleGossip(running, { kind: 'compareFailed', peer })
       if (effect.kind === 'fetch') this.#handleGossip(running, { kind: 'fetchEnded', peer })
-      // The batch is lost: a real link is closed after a timeout, and its digests are compared once it is new.
+      // The batch is lost: a real link is closed after a timeout, and digests are compared after it reconnects.
       if (effect.kind === 'sendBatch') this.#breakLink(running, peer)
       return
     }
--- a/packages/coordination/__tests__/gossip.spec.ts
+++ b/packages/coordination/__tests__/gossip.spec.ts
@@ -49,7 +49,7 @@
     effect.kind === 'sendBatch' && effect.peer === peer ? [effect.items] : [],
   )
 
-describe('NewsCore', () => {
+describe('GossipCore', () => {
   it('keeps the newest version of a key in whichever order the versions arrive', () => {
     const items = [1, 2, 3].map(drains)
     fc.assert(
@@ -65,11 +65,11 @@
   const recordOrders = [
     { name: 'a later term', older: group('a', 1, STABLE, 9), newer: group('a', 2, FENCING, 0) },
     { name: 'a leader', older: group('a', 2, FENCING, 9), newer: group('a', 2, STABLE, 0) },
-    { name: 'a begun move', older: group('a', 2, STABLE, 3), newer: group('a', 2, MOVING, 4) },
+    { name: 'a started move', older: group('a', 2, STABLE, 3), newer: group('a', 2, MOVING, 4) },
     { name: 'an abandoned move', older: group('a', 2, MOVING, 4), newer: group('a', 2, STABLE, 5) },
   ]
   for (const { name, older, newer } of recordOrders) {
-    it(`replaces the previous record by ${name}, as the failover state machine does`, () => {
+    it(`replaces the previous record by one with ${name}, as the failover state machine does`, () => {
       for (const order of [
         [older, newer],
         [newer, older],
@@ -173,14 +173,14 @@
   })
 })
 
-describe('NewsQueue', () => {
+describe('GossipQueue', () => {
   // One receiver is slow: 1,000 changes of 10 keys arrive while it receives one batch of 64.
   const policies = [
     { name: 'replacing older items', replaceOlder: true, limit: 64, length: 10, dropped: 0 },
     { name: 'keeping every item', replaceOlder: false, limit: 64, length: 64, dropped: 936 },
   ]
   for (const { name, replaceOlder, limit, length, dropped } of policies) {
-    it(`${name}: holds ${length} items and drops ${dropped}`, () => {
+    it(`when ${name}, holds ${length} items and drops ${dropped}`, () => {
       const queue = new GossipQueue({ limit, replaceOlder })
       for (let change = 0; change < 1000; change += 1) {
         queue.push(group(`db-${change % 10}`, 1, STABLE, change))
--- a/packages/coordination/__tests__/membership.spec.ts
+++ b/packages/coordination/__tests__/membership.spec.ts
@@ -216,11 +216,11 @@
 
   // A host stalls for a long time and resumes. By its own clock it received nothing for all that time,
   // and in a fleet this small its helpers appear just as silent.
-  for (const { stallHeartbeats, calls } of [
-    { stallHeartbeats: 2, calls: 0 },
-    { stallHeartbeats: Number.POSITIVE_INFINITY, calls: ALL.length - 1 },
+  for (const { stallHeartbeats, declared } of [
+    { stallHeartbeats: 2, declared: 0 },
+    { stallHeartbeats: Number.POSITIVE_INFINITY, declared: ALL.length - 1 },
   ]) {
-    it(`a resumed host declares ${calls} others failed with a stall limit of ${stallHeartbeats} heartbeats`, () => {
+    it(`a resumed host declares ${declared} others failed with a stall limit of ${stallHeartbeats} heartbeats`, () => {
       const fleet = startSimulation({
         stallHeartbeats,
         indirectProbeMilliseconds: 0,
@@ -229,7 +229,7 @@
       fleet.run(10_000)
       fleet.setStalled(FIRST, false)
       fleet.run(1000)
-      expect(fleet.failureDeclarations.filter(({ by }) => by === FIRST).length).toEqual(calls)
+      expect(fleet.failureDeclarations.filter(({ by }) => by === FIRST).length).toEqual(declared)
     })
   }
 
--- a/packages/coordination/__tests__/synchronous/primaryChange.spec.ts
+++ b/packages/coordination/__tests__/synchronous/primaryChange.spec.ts
@@ -112,25 +112,25 @@
 }
 
 /**
- * In each case the primary is dead, cut off or leaving, and one host replaces it while the old one may
- * still accept writes. Every acknowledged write must be on the new primary; if no server is known to
+ * In each case the primary is dead, cut off or leaving, and one host replaces it, while it may still
+ * accept writes. Every acknowledged write must be on the new primary; if no server is known to
  * hold all of them, none may be promoted.
  */
 const CASES: readonly Case[] = [
   {
-    name: 'a live primary keeps acknowledging writes through the candidate',
+    name: 'chooses a replica that holds every write while a live primary goes on acknowledging',
     positions: { p: 100, a: 100, b: 100 },
     members: [member(A), member(B, { distance: 1 })],
     chosen: A,
   },
   {
-    name: 'a dead primary: chooses the replica that is ahead when the other is far behind',
+    name: 'chooses the replica that is ahead when the primary is dead and the other is far behind',
     positions: { p: 100, a: 40, b: 100 },
     arrange: group => (group.primaryWrites = false),
     chosen: B,
   },
   {
-    name: 'a dead primary: chooses the replica that is only one record ahead',
+    name: 'chooses the replica that is only one record ahead when the primary is dead',
     positions: { p: 100, a: 99, b: 100 },
     arrange: group => (group.primaryWrites = false),
     chosen: B,
@@ -164,7 +164,7 @@
     chosen: B,
   },
   {
-    name: 'one replica unreachable and the primary dead: chooses none',
+    name: 'chooses none when one replica is unreachable and the primary is dead',
     positions: { p: 100, a: 100, b: 100 },
     arrange: group => {
       group.unreachable.add(P).add(B)
@@ -172,13 +172,13 @@
     chosen: 'unknownReplica',
   },
   {
-    name: 'one replica unreachable: the old primary steps down and reports its last position',
+    name: 'lets the old primary step down and report its last position when one replica is unreachable',
     positions: { p: 100, a: 90, b: 100 },
     arrange: group => group.unreachable.add(B),
     chosen: A,
   },
   {
-    name: 'one replica unreachable, the other receiving nothing: fails as not caught up',
+    name: 'fails as not caught up when one replica is unreachable and the other receives nothing',
     positions: { p: 100, a: 90, b: 100 },
     arrange: group => {
       group.unreachable.add(B)
@@ -187,7 +187,7 @@
     chosen: 'notCaughtUp',
   },
   {
-    name: 'no replica answers: chooses none',
+    name: 'chooses none when no replica answers',
     positions: { p: 100, a: 100, b: 100 },
     arrange: group => {
       group.unreachable.add(A).add(B)
@@ -195,7 +195,7 @@
     chosen: 'noReplica',
   },
   {
-    name: 'a previous coordinator died after pausing both replicas',
+    name: 'chooses the replica that is ahead when a previous coordinator died after pausing both',
     positions: { p: 100, a: 100, b: 98 },
     arrange: group => {
       group.pausedFor.set(A, term(2)).set(B, term(2))
@@ -225,8 +225,9 @@
 
   // Guards against replicas that stay behind for hours after a change of primary, which makes reads of
   // the database slow. Two hosts changed the primary one after the other; the second paused the replicas
-  // for the term after the first one's pause, and the promotion to the next term did not end that pause.
-  it('pauses for the next term even if a replica is already paused', async () => {
+  // for the term after that of the first one's pause, a later one than that of the next primary, so the
+  // promotion did not end the pause.
+  it("pauses for the next primary's term even if a replica is already paused for it", async () => {
     const group = new FakeGroup({ p: 100, a: 100, b: 100 })
     group.pausedFor.set(B, term(2))
     const plan = { oldPrimary: P, replicas: [member(A), member(B)], synchronousReplicas: 1 }
--- a/packages/coordination/__tests__/synchronous/primaryChoiceExplored.spec.ts
+++ b/packages/coordination/__tests__/synchronous/primaryChoiceExplored.spec.ts
@@ -27,11 +27,11 @@
 }
 
 const STARTS: readonly Start[] = [
-  { name: 'all equal', at: { p: 1, a: 1, b: 1 }, isDead: false },
-  { name: 'one behind', at: { p: 2, a: 1, b: 2 }, isDead: false },
-  { name: 'the other behind', at: { p: 2, a: 2, b: 1 }, isDead: false },
-  { name: 'all equal, the primary dead', at: { p: 1, a: 1, b: 1 }, isDead: true },
-  { name: 'one behind, the primary dead', at: { p: 2, a: 1, b: 2 }, isDead: true },
+  { name: 'all logs equal', at: { p: 1, a: 1, b: 1 }, isDead: false },
+  { name: 'replica a behind', at: { p: 2, a: 1, b: 2 }, isDead: false },
+  { name: 'replica b behind', at: { p: 2, a: 2, b: 1 }, isDead: false },
+  { name: 'all logs equal and the primary dead', at: { p: 1, a: 1, b: 1 }, isDead: true },
+  { name: 'replica a behind and the primary dead', at: { p: 2, a: 1, b: 2 }, isDead: true },
 ]
 
 /** Events that may occur between two commands; the first is none. */
@@ -45,7 +45,7 @@
   #isDead: boolean
   #hasSteppedDown = false
   #events = 0
-  #lostOrders = 0
+  #lostCommands = 0
   /** The newest write that may have been acknowledged to a caller. */
   acknowledged = 0
 
@@ -124,8 +124,8 @@
   #command(server: BackendServerId, effect: () => unknown): Promise<ServerReport | null> {
     this.nextEvent()
     if (server === P && this.#isDead) return Promise.resolve(null)
-    const outcome = this.#lostOrders < LOST_COMMAND_LIMIT ? this.#choices.next(3) : 0
-    if (outcome !== 0) this.#lostOrders += 1
+    const outcome = this.#lostCommands < LOST_COMMAND_LIMIT ? this.#choices.next(3) : 0
+    if (outcome !== 0) this.#lostCommands += 1
     if (outcome !== 2) effect()
     return Promise.resolve(outcome === 0 ? this.#describe(server) : null)
   }
@@ -178,7 +178,7 @@
 
 describe('PrimaryChoice under every order of events within bounds', () => {
   for (const start of STARTS) {
-    it(`loses no acknowledged write: ${start.name}`, async () => {
+    it(`loses no acknowledged write with ${start.name}`, async () => {
       const { runs, promotions, losses } = await exploreAll('shipped', start)
       expect(losses).toEqual(0)
       expect(promotions > 0 && runs > 1000).toEqual(true)
--- a/packages/coordination/__tests__/synchronous/primarySuspicion.spec.ts
+++ b/packages/coordination/__tests__/synchronous/primarySuspicion.spec.ts
@@ -16,9 +16,12 @@
 
 interface Case {
   readonly name: string
+  /** Milliseconds without an answer. */
   readonly silent?: number
   readonly refusals?: number
+  /** Milliseconds since another host reached the primary on behalf of this one. */
   readonly reached?: number
+  /** Milliseconds since a replica was seen to receive more of the log. */
   readonly grew?: number
   readonly hosts: number
   readonly rank: number
@@ -43,7 +46,7 @@
     advice: [[0, 'trust']],
   },
   {
-    name: 'a host whose suspicion no other shares votes, and acts only later',
+    name: 'votes when no other host shares the suspicion, and acts only later',
     silent: 600,
     hosts: 9,
     rank: 0,
@@ -69,7 +72,7 @@
     ],
   },
   {
-    name: 'a host alone with its suspicion does not act while others reach the primary for it',
+    name: 'does not act alone while others reach the primary on its behalf',
     silent: 600,
     reached: 200,
     hosts: 9,
@@ -122,7 +125,7 @@
     ],
   },
   {
-    name: 'a host of a later rank waits for its turn',
+    name: 'delays acting by the rank of the host',
     silent: 600,
     hosts: 9,
     rank: 2,
@@ -167,7 +170,7 @@
     advice: [[10, 'act']],
   },
   {
-    name: 'the only remaining host acts without votes of others',
+    name: 'acts without votes of others when no other host remains',
     silent: 600,
     hosts: 1,
     rank: 0,
@@ -193,15 +196,17 @@
       const suspicion = new PrimarySuspicion()
       for (const [host, primary, at] of votes) suspicion.recordVote(host, primary, milliseconds(at))
       for (const host of denials ?? []) suspicion.recordDenial(host, P, milliseconds(0))
-      const signs = {
+      const observations = {
         primary: P,
         silentMilliseconds: silent ?? 0,
         refusals: refusals ?? 0,
         logGrewAgo: grew ?? Number.POSITIVE_INFINITY,
         reachedThroughOthersAgo: reached ?? Number.POSITIVE_INFINITY,
       }
-      const given = advice.map(([at]) => suspicion.advise(signs, hosts, rank, milliseconds(at)))
-      expect(given).toEqual(advice.map(([, expected]) => expected))
+      const actual = advice.map(([at]) =>
+        suspicion.advise(observations, hosts, rank, milliseconds(at)),
+      )
+      expect(actual).toEqual(advice.map(([, expected]) => expected))
     })
   }
 
--- a/packages/coordination/__tests__/virtualNetwork.ts
+++ b/packages/coordination/__tests__/virtualNetwork.ts
@@ -38,8 +38,8 @@
   readonly #cuts = new Set<string>()
   #order = 0
 
-  constructor(place: ZoneLayout) {
-    this.layout = place
+  constructor(layout: ZoneLayout) {
+    this.layout = layout
   }
 
   get now(): number {
@@ -58,6 +58,7 @@
     this.#killed.delete(name)
   }
 
+  /** Stalls the process: its callbacks are held until `thaw`. */
   freeze(name: string): void {
     if (!this.#stalledCallbacks.has(name)) this.#stalledCallbacks.set(name, [])
   }
--- a/packages/coordination/__tests__/watchers.spec.ts
+++ b/packages/coordination/__tests__/watchers.spec.ts
@@ -28,39 +28,39 @@
 describe('WatcherPlan', () => {
   const placements = [
     {
-      name: 'one in each zone of the servers',
+      name: 'one watcher in each zone of the servers',
       hosts: hostsIn(ZONES, 3),
       servers: SERVERS,
       zones: ['a', 'b', 'c'],
     },
     {
-      name: 'servers in two zones: adds a third zone of the region',
+      name: 'a watcher in a third zone of the region when the servers are in two zones',
       hosts: hostsIn(ZONES, 3),
       servers: [place('a'), place('b'), place('b')],
       zones: ['a', 'b', 'c'],
     },
     {
-      name: 'a zone without hosts: prefers another region to a second host of a zone',
+      name: 'a watcher in another region, not two in one zone, when a zone of the servers has no hosts',
       hosts: hostsIn(['a', 'b', 'd'], 3),
       servers: SERVERS,
       zones: ['a', 'b', 'd'],
     },
     {
-      name: 'only one zone has hosts',
+      name: 'all watchers in one zone when no other has hosts',
       hosts: hostsIn(['a'], 3),
       servers: SERVERS,
       zones: ['a', 'a', 'a'],
     },
     {
-      name: 'only two hosts exist',
+      name: 'two watchers when only two hosts exist',
       hosts: hostsIn(['a', 'b'], 1),
       servers: SERVERS,
       zones: ['a', 'b'],
     },
-    { name: 'no host exists', hosts: [], servers: SERVERS, zones: [] },
+    { name: 'no watcher when no host exists', hosts: [], servers: SERVERS, zones: [] },
   ]
   for (const { name, hosts, servers, zones } of placements) {
-    it(`places watchers: ${name}`, () => {
+    it(`places ${name}`, () => {
       const plan = new WatcherPlan(hosts)
       for (const database of DATABASES) {
         expect(zonesOf(plan.watchersOf(database, servers))).toEqual(zones)
