--- a/packages/host/__tests__/customers.spec.ts
+++ b/packages/host/__tests__/customers.spec.ts
@@ -45,13 +45,13 @@
 
 describe('the key of a caller', () => {
   const cases: readonly (readonly [string, string, string, string])[] = [
-    ['of a customer', 'own', 'key-of-alfa', 'welcome'],
-    ['of nobody', 'own', 'key-of-nobody', 'unknownKey'],
-    ['empty', 'own', '', 'unknownKey'],
-    ['of a customer, for a database that is not there', 'none', 'key-of-alfa', 'unknownDatabase'],
+    ['belongs to a customer', 'own', 'key-of-alfa', 'welcome'],
+    ['belongs to no customer', 'own', 'key-of-nobody', 'unknownKey'],
+    ['is empty', 'own', '', 'unknownKey'],
+    ['is valid but the database does not exist', 'none', 'key-of-alfa', 'unknownDatabase'],
   ]
   for (const [name, database, key, outcome] of cases) {
-    it(`${name}: ${outcome}`, async () => {
+    it(`is answered with ${outcome} if it ${name}`, async () => {
       await withOneHost(async (_fixture, { host }) => {
         expect(await new Caller(host).connect(database, key)).toEqual(outcome)
       })
@@ -72,7 +72,7 @@
   })
 
   // Guards against open sessions that continue to be served after their key was revoked.
-  it('that was revoked authorizes no further operation of open sessions', async () => {
+  it('authorizes no further operation of open sessions once it is revoked', async () => {
     await withOneHost(async (fixture, host) => {
       const revoked = await fixture.caller(host, 'own', 'key-of-alfa')
       const unaffected = await fixture.caller(host, 'own', 'key-of-bravo')
@@ -92,7 +92,7 @@
   ]
   for (const [name, customers] of keyChanges) {
     // A transaction must not be committed for a customer that is no longer allowed to write.
-    it(`that was ${name} aborts open transactions`, async () => {
+    it(`no longer commits open transactions once it is ${name}`, async () => {
       await withOneHost(async (fixture, host) => {
         const caller = await fixture.caller(host, 'own', 'key-of-alfa')
         expect([await caller.outcomeOf('begin'), await caller.outcomeOf('write 1')]).toEqual([
@@ -194,7 +194,7 @@
 
   // Guards against starvation: while one customer kept every connection of a host busy, requests of another customer
   // were overtaken each time a connection was released.
-  it('of a busy customer are released for requests of others', async () => {
+  it('are released by a busy customer while requests of others wait', async () => {
     const options = { customers: [ALFA, BRAVO], connectionLimit: 4 }
     await withHostFixture(1, busyCustomer, options)
     async function busyCustomer(
@@ -282,16 +282,16 @@
   // part.
   it('still admits operations after the loss of hosts that hold parts of it', async () => {
     await withThreeHosts(async (fixture, hosts) => {
-      const [left, ...others] = hosts
-      if (left === undefined) return
+      const [remaining, ...others] = hosts
+      if (remaining === undefined) return
       for (const { host } of others) host.close()
-      expect((await countServed(fixture, left, 'key-of-alfa', 30)) > 0).toEqual(true)
+      expect((await countServed(fixture, remaining, 'key-of-alfa', 30)) > 0).toEqual(true)
     })
   })
 })
 
 describe('keys', () => {
-  // A key in a log line or in a message between hosts could be used by anyone who reads it.
+  // A key in a log line could be used by anyone who reads the log. Its digest must not be logged either.
   it('do not appear in log lines', async () => {
     const options = { customers: [ALFA, BRAVO], relayPorts: await freePorts(2) }
     await withHostFixture(
--- a/packages/host/__tests__/relay.spec.ts
+++ b/packages/host/__tests__/relay.spec.ts
@@ -7,7 +7,7 @@
 /** Too few connections to divide among three hosts, so one host holds all of them. */
 const CONNECTION_LIMIT = 5
 
-/** A full server rejected a connection of a host that holds no other one. */
+/** Whether the line reports that a host without any connection to a server failed to open one. */
 const isDenied = ({ event, fields }: FixtureHost['lines'][number]): boolean =>
   event === 'connection_not_opened' && fields.held === 0
 
@@ -79,11 +79,11 @@
     ],
   ]
   for (const [what, change] of recordChanges) {
-    it(`receives the answers of an owner that ${what} meanwhile`, async () => {
+    it(`answers pending statements although its owner ${what}`, async () => {
       await withOneOwner(async (fixture, owner, other) => {
         const caller = await fixture.caller(other, 'own')
         await caller.outcomeOf('write 1')
-        // Changes are batched after those of the start.
+        // After the changes of the start, further ones are batched for a second; wait until that is over.
         await new Promise(resolve => setTimeout(resolve, 1200))
         fixture.dialer.hooks.workMilliseconds = 300
         const asked = caller.outcomeOf('write 2')
@@ -227,19 +227,19 @@
         const owners = () => hosts.filter(({ host }) => host.find('own')?.service.isOwned === true)
         await fixture.until(() => owners().length === 1, 'one host owns the service')
         const others = hosts.filter(host => !owners().includes(host))
-        const homes = others.flatMap(host => [host, host, host, host])
-        const callers = await Promise.all(homes.map(home => fixture.caller(home, 'own')))
+        const callerHosts = others.flatMap(host => [host, host, host, host])
+        const callers = await Promise.all(callerHosts.map(host => fixture.caller(host, 'own')))
         fixture.dialer.hooks.workMilliseconds = 30
         owners()[0]?.host.close()
         const settledAt = performance.now() + 700
         const served = new Map<FixtureHost, number>()
         const work = async (caller: Caller, index: number): Promise<void> => {
-          const home = homes[index]
+          const host = callerHosts[index]
           while (performance.now() < settledAt + 800) {
             const askedAt = performance.now()
             const outcome = await caller.outcomeOf('write 1')
-            if (home === undefined || askedAt < settledAt || outcome !== 'done') continue
-            served.set(home, (served.get(home) ?? 0) + 1)
+            if (host === undefined || askedAt < settledAt || outcome !== 'done') continue
+            served.set(host, (served.get(host) ?? 0) + 1)
           }
         }
         const settled = new Promise(resolve => setTimeout(resolve, 700))
--- a/packages/host/__tests__/relayPeer.spec.ts
+++ b/packages/host/__tests__/relayPeer.spec.ts
@@ -49,14 +49,14 @@
       log: { write: () => undefined },
       settings: { graceMilliseconds: 300 },
     } as unknown as HostContext
-    const taken: JsonRpcConnection[] = []
+    const accepted: JsonRpcConnection[] = []
     const server = createServer(socket => {
-      taken.push(new JsonRpcConnection(socket, { [RELAY_METHODS.ping]: () => true }))
+      accepted.push(new JsonRpcConnection(socket, { [RELAY_METHODS.ping]: () => true }))
     })
     await new Promise<void>(resolve => server.listen(port, '127.0.0.1', resolve))
     const peer = new RelayPeer(context, 'host-2', { host: '127.0.0.1', port })
     await peer.call(RELAY_METHODS.ping, () => ({}), context.clock.now())
-    taken[0]?.notify(RELAY_METHODS.leaving, {})
+    accepted[0]?.notify(RELAY_METHODS.leaving, {})
     const until = async (isUp: boolean): Promise<number> => {
       const startedAt = performance.now()
       while (peer.isUp !== isUp && performance.now() < startedAt + 3000) {
@@ -68,7 +68,7 @@
     await until(false)
     expect([peer.isUp, peer.isLost]).toEqual([false, false])
     const span = await until(true)
-    expect([peer.isUp, span > 250, taken.length]).toEqual([true, true, 2])
+    expect([peer.isUp, span > 250, accepted.length]).toEqual([true, true, 2])
     peer.close()
     server.close()
   })
--- a/packages/host/__tests__/statements.spec.ts
+++ b/packages/host/__tests__/statements.spec.ts
@@ -47,10 +47,10 @@
     ],
     ['a commit without a transaction', 'own', 'commit, read 1', 'malformed, done'],
     ['a begin within a transaction', 'own', 'begin, begin, rollback', 'done, malformed, done'],
-    ['no statement at all', 'own', 'nonsense, read 1', 'malformed, done'],
+    ['text that is not a statement', 'own', 'nonsense, read 1', 'malformed, done'],
   ]
   for (const [name, database, texts, outcomes] of conversations) {
-    it(name, async () => {
+    it(`answers ${name}`, async () => {
       await withHostFixture(1, async (fixture, [host]) => {
         if (host === undefined) return
         const caller = await fixture.caller(host, database)
@@ -82,7 +82,7 @@
     ['a commit', ['begin', 'write 1'], 'commit', 'cutAfter', 'outcomeUnknown', 0],
   ]
   for (const [name, before, text, fault, outcome, runs] of losses) {
-    it(`${name}, ${fault}`, async () => {
+    it(`answers ${name} with ${outcome} after the fault ${fault}`, async () => {
       await withHostFixture(1, async (fixture, [host]) => {
         if (host === undefined) return
         const caller = await fixture.caller(host, 'own')
@@ -126,8 +126,8 @@
     )
   })
 
-  // The log line of a late statement must tell an operator how long it waited and how many attempts it took.
-  it('logs how a late answer spent its time', async () => {
+  // An operator must be able to tell from the log which statement was answered late and how many attempts it took.
+  it('logs a late answer with its number of attempts', async () => {
     await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const caller = await fixture.caller(host, 'latest')
@@ -177,7 +177,7 @@
   })
 
   // A replica stops receiving the log. A session that has just written must not read from it, however near it is.
-  it('reads the own writes of a session while a replica is behind', async () => {
+  it('lets a session read its own writes while a replica is behind', async () => {
     await withHostFixture(1, async (fixture, [host]) => {
       if (host === undefined) return
       const caller = await fixture.caller(host, 'own')
--- a/packages/host/__tests__/support/caller.ts
+++ b/packages/host/__tests__/support/caller.ts
@@ -76,12 +76,12 @@
 
   #nextId(): string {
     this.#lastId += 1
-    callers += 1
-    return `s${String(callers)}-${String(this.#lastId)}`
+    statementCount += 1
+    return `s${String(statementCount)}-${String(this.#lastId)}`
   }
 }
 
-let callers = 0
+let statementCount = 0
 
 const textOf = (text: string): string => text.toUpperCase()
 
--- a/packages/host/__tests__/support/hostFixture.ts
+++ b/packages/host/__tests__/support/hostFixture.ts
@@ -22,7 +22,9 @@
 import { Caller } from './caller.js'
 
 export const SERVICE = 'db-1'
+/** The primary when the fixture starts. */
 export const P = backendServerId('i-p')
+/** The replicas when the fixture starts. */
 export const A = backendServerId('i-a')
 export const B = backendServerId('i-b')
 
@@ -61,24 +63,24 @@
 ): HostSettings {
   const zone = availabilityZoneId(zoneName)
   const region = regionId('region-1')
-  const nowhere = { host: '127.0.0.1', port: 0 }
+  const unusedAddress = { host: '127.0.0.1', port: 0 }
   return {
     entryHost: entryHostId(host),
     zone,
     region,
     regions: new Map([[zone, region]]),
-    callers: nowhere,
-    readiness: nowhere,
+    callers: unusedAddress,
+    readiness: unusedAddress,
     relay: relayPort === null ? null : { host: '127.0.0.1', port: relayPort },
     processorShare: 1,
     metrics: null,
     store: {
-      ...nowhere,
+      ...unusedAddress,
       writesPerSecond: 400,
       readsPerSecond: 2000,
       shortestLeaseMilliseconds: 1000,
     },
-    promotion: nowhere,
+    promotion: unusedAddress,
     serverHeartbeatMilliseconds: 1000,
     drainMilliseconds: 7000,
     configurationMilliseconds: 4000,
@@ -97,7 +99,7 @@
   readonly lines: { readonly event: string; readonly fields: LogFields }[]
 }
 
-/** How the promotion orders of a host fail. */
+/** How the promotion orders of a host fail. `noAnswer`: not carried out; `late`: carried out after the call failed. */
 export type PromotionFault = (host: string) => 'none' | 'noAnswer' | 'late'
 
 const LATE_PROMOTION_MILLISECONDS = 400
@@ -105,9 +107,9 @@
 export interface HostFixtureOptions {
   readonly promotionMilliseconds?: number
   readonly connectionLimit?: number
-  /** The relay port of each host, in order; without, the hosts have none. */
+  /** The relay port of each host, in order; by default the hosts have none. */
   readonly relayPorts?: readonly number[]
-  /** The availability zone of each host, in order; without, all hosts are in one zone. */
+  /** The availability zone of each host, in order; by default all hosts are in one zone. */
   readonly zones?: readonly string[]
   /** The whole fleet starts for the first time. */
   readonly isFirstStart?: boolean
@@ -257,7 +259,7 @@
   }
 
   async close(): Promise<void> {
-    for (const caller of [...this.hosts]) await caller.host.stop()
+    for (const each of [...this.hosts]) await each.host.stop()
   }
 
   #promotionFor(name: string): PromotionPort {
--- a/packages/host/src/accessRefusals.ts
+++ b/packages/host/src/accessRefusals.ts
@@ -17,18 +17,18 @@
 
 /** The refusal that the last failed attempt leads to when it is not repeated. */
 function lastRefusal(place: StatementPlace, last: StatementFailure): CallerRefusal {
-  const fate = recoveryFor(place, last, false)
-  return fate.kind === 'answer' ? fate.refusal : fate.otherwise
+  const action = recoveryFor(place, last, false)
+  return action.kind === 'answer' ? action.refusal : action.otherwise
 }
 
-/** The result of a statement whose deadline has passed. */
+/** The result of a statement that is not attempted again, such as one whose deadline has passed. */
 export const refusalAfter = (
   request: StatementRequest,
   place: StatementPlace,
   last: StatementFailure,
 ): StatementResult => refused(request, lastRefusal(place, last), last)
 
-/** The result of a statement that got no connection; null if it may look for another server. */
+/** The result of a statement that got no connection; null if it may try again. */
 export function withoutAccess(
   request: StatementRequest,
   place: StatementPlace,
--- a/packages/host/src/attempt.ts
+++ b/packages/host/src/attempt.ts
@@ -48,8 +48,8 @@
   readonly isInTransaction: boolean
   /**
    * Checks after the statement that the server is still the primary. A replaced primary that has not been informed
-   * serves reads from its old log; it refuses to begin a writing transaction right afterwards, and the read is
-   * discarded.
+   * serves reads from its old log; it refuses to begin a read-write transaction right afterwards, and the read
+   * is discarded.
    */
   readonly verifiesPrimary: boolean
   readonly deadline: Milliseconds
@@ -61,7 +61,7 @@
   position: LogPosition | null = null,
 ): AttemptOutcome => ({ kind: 'mishap', mishap: cause, status, position })
 
-/** Runs the statement after the commands that set the session's values. All commands are sent in one packet. */
+/** Runs the statement after the commands that set the session's values. All commands are sent in one socket write. */
 export async function attempt(
   context: HostContext,
   pooled: PooledLink,
@@ -78,14 +78,14 @@
   const own = [...values.commandsToAdopt(plan.session, plan.isInTransaction), ...prepared.own]
   const ahead = own.map(command => link.run(command))
   const main = link.run(prepared.command)
-  const behind = plan.verifiesPrimary
+  const primaryChecks = plan.verifiesPrimary
     ? [link.run({ kind: 'begin', readOnly: false, after: null }), link.run({ kind: 'rollback' })]
     : []
-  const all = Promise.all([Promise.all(ahead), main, Promise.all(behind)])
+  const all = Promise.all([Promise.all(ahead), main, Promise.all(primaryChecks)])
   const replies = await withDeadline(all, plan.deadline, context.clock)
   if (replies === OVERDUE) return mishap({ kind: 'overdue' }, null)
-  const [settings, reply, check] = replies
-  if (!settings.every(isHostCommandDone)) {
+  const [ownReplies, reply, check] = replies
+  if (!ownReplies.every(isHostCommandDone)) {
     const failure = reply.isErr() ? reply.error.kind : 'malformedAnswer'
     return mishap({ kind: 'lost', failure }, null)
   }
--- a/packages/host/src/backendServerState.ts
+++ b/packages/host/src/backendServerState.ts
@@ -9,15 +9,18 @@
 import type { HostContext } from './hostContext.js'
 import { ServerPool } from './serverPool.js'
 
-/** Latency estimates in milliseconds before the first measurement, by distance of the server. */
+/**
+ * Latency in milliseconds that is due to the distance of the server alone. Estimates start there before the first
+ * measurement, and return to it without new ones.
+ */
 const INITIAL_LATENCY_IN_ZONE = 8
 const INITIAL_LATENCY_IN_REGION = 11
 const INITIAL_LATENCY_ACROSS_REGIONS = 50
 
 /** A server that owes an answer and has sent nothing for this long is probed with a new connection. */
-const TOUCH_AFTER_MILLISECONDS = 150
+const PROBE_AFTER_MILLISECONDS = 150
 
-/** 0: in this host's availability zone, 1: in its region, 2: in another region, across the paid link. */
+/** 0: in this host's availability zone, 1: in its region, 2: in another region, where traffic is billed. */
 export type Distance = 0 | 1 | 2
 
 export class BackendServerState {
@@ -28,10 +31,10 @@
   readonly distance: Distance
   readonly #context: HostContext
   #entry: BackendServerEntry
-  #touchStartedAt: Milliseconds | null = null
-  #cancelTouch: (() => void) | null = null
-  #touchedAt = Number.NEGATIVE_INFINITY
-  #probeSentAt: Milliseconds | null = null
+  #connectionProbeStartedAt: Milliseconds | null = null
+  #cancelConnectionProbe: (() => void) | null = null
+  #connectionProbeAnsweredAt = Number.NEGATIVE_INFINITY
+  #queryProbeSentAt: Milliseconds | null = null
 
   constructor(
     context: HostContext,
@@ -63,41 +66,41 @@
     return addressOf(this.#entry)
   }
 
-  /** Expected duration of a statement, including the opening of a connection if its customer has none idle. */
+  /** Expected duration of a statement. For a customer without an idle connection, includes opening one. */
   expectedMilliseconds(customer: CustomerName | null, now: Milliseconds): number {
     const usual = this.latency.at(now)
     return customer === null ? usual : usual + this.pool.openingMilliseconds(customer)
   }
 
-  /** Whether a write that is sent now is likely to be confirmed. */
+  /** Whether a write may be sent now: writes are likely to be confirmed, or it is time to test whether they are. */
   mayWrite(now: Milliseconds): boolean {
     return this.writes.mayWrite(this.latency.at(now), now)
   }
 
   /** When anything was last received from it, or a liveness probe succeeded. */
   get lastHeardAt(): number {
-    return Math.max(this.pool.lastHeardAt, this.#touchedAt)
+    return Math.max(this.pool.lastHeardAt, this.#connectionProbeAnsweredAt)
   }
 
   /** Whether a probe or a request is pending on it. */
   get owesAnswer(): boolean {
-    const isAsked = this.#probeSentAt !== null || this.#touchStartedAt !== null
-    return isAsked || this.pool.busy > 0 || this.pool.waiting > 0
+    const isProbed = this.#queryProbeSentAt !== null || this.#connectionProbeStartedAt !== null
+    return isProbed || this.pool.busy > 0 || this.pool.waiting > 0
   }
 
   /** How long a probe has been pending without anything being received; 0 if none is pending. */
   silentMilliseconds(now: Milliseconds): number {
-    const probedAt = Math.min(this.#touchStartedAt ?? now, this.#probeSentAt ?? now)
+    const probedAt = Math.min(this.#connectionProbeStartedAt ?? now, this.#queryProbeSentAt ?? now)
     return Math.max(0, now - Math.max(probedAt, this.lastHeardAt))
   }
 
   /** Records that a query was sent which a server answers at once, whatever its load. */
   probeSent(now: Milliseconds): void {
-    this.#probeSentAt ??= now
+    this.#queryProbeSentAt ??= now
   }
 
   probeAnswered(): void {
-    this.#probeSentAt = null
+    this.#queryProbeSentAt = null
   }
 
   /**
@@ -106,24 +109,25 @@
    * load.
    */
   probeIfSilent(now: Milliseconds): void {
-    if (this.#touchStartedAt !== null) {
-      if (this.lastHeardAt > this.#touchStartedAt) this.#endTouch()
+    if (this.#connectionProbeStartedAt !== null) {
+      if (this.lastHeardAt > this.#connectionProbeStartedAt) this.#endConnectionProbe()
       return
     }
     const quietSince = Math.max(this.lastHeardAt, this.pool.busySince)
-    if (this.owesAnswer && now - quietSince > TOUCH_AFTER_MILLISECONDS) this.#touch(now)
+    if (this.owesAnswer && now - quietSince > PROBE_AFTER_MILLISECONDS)
+      this.#startConnectionProbe(now)
   }
 
   /** Probes the server because another host finds it silent, unless something was received from it recently. */
   probeLiveness(now: Milliseconds): void {
-    const isQuiet = now - this.lastHeardAt > TOUCH_AFTER_MILLISECONDS
-    if (this.#touchStartedAt === null && isQuiet) this.#touch(now)
+    const isQuiet = now - this.lastHeardAt > PROBE_AFTER_MILLISECONDS
+    if (this.#connectionProbeStartedAt === null && isQuiet) this.#startConnectionProbe(now)
   }
 
   /** Discards pending probes: after a stall of this process they tell nothing about the server. */
   discardProbes(): void {
-    this.#probeSentAt = null
-    this.#endTouch()
+    this.#queryProbeSentAt = null
+    this.#endConnectionProbe()
   }
 
   close(): void {
@@ -131,25 +135,25 @@
     this.pool.close()
   }
 
-  #endTouch(): void {
-    this.#cancelTouch?.()
-    this.#cancelTouch = null
-    this.#touchStartedAt = null
+  #endConnectionProbe(): void {
+    this.#cancelConnectionProbe?.()
+    this.#cancelConnectionProbe = null
+    this.#connectionProbeStartedAt = null
   }
 
-  #touch(now: Milliseconds): void {
-    const touch = this.#context.dialer.probe(this.address)
+  #startConnectionProbe(now: Milliseconds): void {
+    const probe = this.#context.dialer.probe(this.address)
     const cancel = (): void => {
-      touch.cancel()
+      probe.cancel()
     }
-    this.#touchStartedAt = now
-    this.#cancelTouch = cancel
-    void touch.answered.then(result => {
-      if (this.#cancelTouch !== cancel) return
-      this.#cancelTouch = null
-      this.#touchStartedAt = null
+    this.#connectionProbeStartedAt = now
+    this.#cancelConnectionProbe = cancel
+    void probe.answered.then(result => {
+      if (this.#cancelConnectionProbe !== cancel) return
+      this.#cancelConnectionProbe = null
+      this.#connectionProbeStartedAt = null
       if (result.isOk()) {
-        this.#touchedAt = this.#context.clock.now()
+        this.#connectionProbeAnsweredAt = this.#context.clock.now()
         this.pool.refusals = 0
       } else this.pool.refusals += 1
     })
--- a/packages/host/src/callerAuthorization.ts
+++ b/packages/host/src/callerAuthorization.ts
@@ -78,7 +78,7 @@
    */
   authorizeInTransaction(route: Route, customer: CustomerName | null): Permission {
     if (customer === null) return { kind: 'granted', customer }
-    const now = this.authorizeSession(route)
-    return now.kind === 'granted' && now.customer === customer ? now : denied(LOST_KEY)
+    const current = this.authorizeSession(route)
+    return current.kind === 'granted' && current.customer === customer ? current : denied(LOST_KEY)
   }
 }
--- a/packages/host/src/callerSession.ts
+++ b/packages/host/src/callerSession.ts
@@ -154,8 +154,8 @@
   }
 
   /**
-   * Called when the process ends. A caller that is idle in a transaction is told that it was aborted; a statement or
-   * transaction that is cut off is logged.
+   * Called when the process ends. A caller without a running statement, such as one that is idle in a transaction, is
+   * rejected as aborted; a statement or transaction that is cut off is logged.
    */
   endNow(stoppingSince: Milliseconds): void {
     if (this.isBusy) this.#logCut(stoppingSince)
--- a/packages/host/src/customerLimits.ts
+++ b/packages/host/src/customerLimits.ts
@@ -20,7 +20,7 @@
 /** A holder that did not answer is not asked again for this long. */
 const HOLDER_BACKOFF_MILLISECONDS = 1000
 
-/** The retry delay sent to callers when no holder of a part can be reached. */
+/** The retry delay sent to callers when every holder of a part is unreachable or declines. */
 const UNREACHABLE_RETRY_MILLISECONDS = 500
 
 /** Limits, their holders, and the connections to these hosts. */
--- a/packages/host/src/limitGranter.ts
+++ b/packages/host/src/limitGranter.ts
@@ -43,7 +43,7 @@
 
   /**
    * Called when this host has registered as one that the others did not know. Until they have received the change, the
-   * host that it replaces may continue to grant the same part, so the part fills only after that time.
+   * host that it replaces may continue to grant the same part, so the part is refilled only after that time.
    */
   joined(): void {
     const { clock, settings } = this.#context
--- a/packages/host/src/relayPeer.ts
+++ b/packages/host/src/relayPeer.ts
@@ -47,7 +47,7 @@
   #opening: Promise<JsonRpcConnection | null> | null = null
   /** When to reconnect after a failure; null if the last attempt did not fail. */
   #retryAt: Milliseconds | null = null
-  /** When it notified that it is stopping. Until its connection closes it still runs what it has accepted. */
+  /** When the host announced that it is stopping; until its connection closes it still runs what it has accepted. */
   #leavingSince: Milliseconds | null = null
   #pendingCalls = 0
   #isPinging = false
@@ -88,8 +88,8 @@
     const { clock } = this.#context
     if (this.#pendingCalls === 0) this.#lastReceivedAt = clock.now()
     this.#pendingCalls += 1
-    const limit = Math.max(1, deadline - clock.now() + ANSWER_MARGIN_MILLISECONDS)
-    const answer = await connection.request<AnswerMessage>(method, params(this.#routes), limit)
+    const timeout = Math.max(1, deadline - clock.now() + ANSWER_MARGIN_MILLISECONDS)
+    const answer = await connection.request<AnswerMessage>(method, params(this.#routes), timeout)
     this.#pendingCalls -= 1
     if (answer.isOk()) {
       const message = answer.value
@@ -99,22 +99,22 @@
     return { kind: 'lost' }
   }
 
-  requestChanges(question: ChangeFeedRequest, limit: number): Promise<ChangeFeedResponse | null> {
-    return this.#request(RELAY_METHODS.news, question, limit)
+  requestChanges(request: ChangeFeedRequest, timeout: number): Promise<ChangeFeedResponse | null> {
+    return this.#request(RELAY_METHODS.news, request, timeout)
   }
 
-  askGrant(question: GrantRequest, limit: number): Promise<GrantAnswer | null> {
-    return this.#request(RELAY_METHODS.grant, question, limit)
+  askGrant(request: GrantRequest, timeout: number): Promise<GrantAnswer | null> {
+    return this.#request(RELAY_METHODS.grant, request, timeout)
   }
 
   /**
-   * Returns null if there is no answer in time. Not counted as a pending call: no statement runs there, and the request
-   * has a timeout of its own.
+   * Returns null if no answer arrives within `timeout` milliseconds. Not counted as a pending call, which would be
+   * monitored with pings: no statement runs there, and the timeout suffices.
    */
-  async #request<Answer>(method: string, question: unknown, limit: number): Promise<Answer | null> {
+  async #request<Answer>(method: string, params: unknown, timeout: number): Promise<Answer | null> {
     const connection = await this.#connect()
     if (connection === null) return null
-    const answer = await connection.request<Answer>(method, question, limit)
+    const answer = await connection.request<Answer>(method, params, timeout)
     return answer.unwrapOr(null)
   }
 
--- a/packages/host/src/relayingRunner.ts
+++ b/packages/host/src/relayingRunner.ts
@@ -120,7 +120,7 @@
     else transaction.peer.end(transaction.id)
   }
 
-  /** Whether the statement can be run again safely, on this host. */
+  /** Whether this host may run the statement itself: its deadline has not passed, and a retry is safe. */
   #mayRunHere(request: StatementRequest, place: StatementPlace, outcome: RelayOutcome): boolean {
     return (
       !this.#isExpired(request) && recoveryFor(place, mishapOf(outcome), false).kind === 'retry'
@@ -187,8 +187,8 @@
     outcome: RelayOutcome,
   ): StatementResult {
     const mishap = mishapOf(outcome)
-    const fate = recoveryFor(place, mishap, false)
-    return refused(request, fate.kind === 'answer' ? fate.refusal : fate.otherwise, mishap)
+    const action = recoveryFor(place, mishap, false)
+    return refused(request, action.kind === 'answer' ? action.refusal : action.otherwise, mishap)
   }
 
   #isExpired(request: StatementRequest): boolean {
--- a/packages/host/src/serverAccess.ts
+++ b/packages/host/src/serverAccess.ts
@@ -92,18 +92,18 @@
     return null
   }
 
-  /** Acquires a connection to the server by `limit`, or tells why there is none. */
+  /** Acquires a connection to the server before `acquireBy`, or tells why there is none. */
   async acquire(
     request: StatementRequest,
     server: BackendServerState,
-    limit: Milliseconds,
+    acquireBy: Milliseconds,
   ): Promise<Access> {
     const { priority, latencyTargetMilliseconds } = request.route
     const latestStart = this.#latestStart(request, server)
     const startedAt = this.#context.clock.now()
     const acquired = await server.pool.acquire(request.session.values, {
       priority,
-      deadline: earlier(limit, latestStart),
+      deadline: earlier(acquireBy, latestStart),
       maximumWaitMilliseconds: latencyTargetMilliseconds * MAXIMUM_WAIT_SHARE,
       use: { kind: 'customer', customer: request.customer },
     })
@@ -170,11 +170,14 @@
     const { clock } = this.#context
     const write = server.writes.noteSent(clock.now())
     const outcome = await run()
-    server.writes.noteEnded(write, endOf(outcome), clock.now())
+    server.writes.noteEnded(write, writeOutcomeOf(outcome), clock.now())
     return outcome
   }
 
-  /** Excludes the server from further attempts of this read; if none is left, backs off and allows all again. */
+  /**
+   * Excludes the server from further attempts of this read or first statement of a transaction; if none is left, backs
+   * off and allows all again.
+   */
   async exclude(
     request: StatementRequest,
     server: BackendServerState,
@@ -274,7 +277,7 @@
   }
 }
 
-function endOf(outcome: AttemptOutcome): WriteOutcome {
+function writeOutcomeOf(outcome: AttemptOutcome): WriteOutcome {
   if (outcome.kind === 'answered') return 'confirmed'
   const { mishap } = outcome
   return mishap.kind === 'refused' && mishap.refusal === 'timeout' ? 'unconfirmed' : 'silent'
--- a/packages/host/src/serverPool.ts
+++ b/packages/host/src/serverPool.ts
@@ -220,7 +220,7 @@
     if (this.#queue.size > 0) this.#openMore()
   }
 
-  /** The waiter that gets a released connection; null if it has to make room for another customer's connection. */
+  /** The waiter that gets a released connection; null if none can use it or a starved waiter needs its place. */
   #nextFor(pooled: PooledLink): LinkWaiter | null {
     const { first } = this.#queue
     if (first !== null && !canUse(pooled, first) && this.#isStarved(first)) return null
@@ -296,7 +296,7 @@
     for (let index = uncovered.length; index < room; index += 1) void this.#opener.open(null)
   }
 
-  /** The waiters for whom no connection is being opened yet, by customer. */
+  /** The waiters that exceed the number of connections being opened for their customer. */
   #waitersWithoutConnection(): LinkWaiter[] {
     const unclaimed = new Map(this.#opener.openingByCustomer)
     const uncovered: LinkWaiter[] = []
--- a/packages/host/src/serviceState.ts
+++ b/packages/host/src/serviceState.ts
@@ -48,16 +48,16 @@
   readonly #context: HostContext
   readonly #directory: ServerDirectory
   #standInUntil = milliseconds(0)
-  /** Number of hosts that hold connections to this service's servers. */
+  /** Number of hosts among which the connections to this service's servers are divided. */
   holderCount = 1
-  /** Number of such hosts by region. */
+  /** Number of the service's owners by region. */
   holderCountByRegion: ReadonlyMap<RegionId, number> = new Map()
   /** When a replica was last seen to have received more of the log. */
   lastReplicaProgressAt: Milliseconds = milliseconds(Number.NEGATIVE_INFINITY)
   #newestReplicaPosition: LogPosition | null = null
   /** When another host last answered a statement relayed by this one. */
   lastRelayedAnswerAt: Milliseconds = milliseconds(Number.NEGATIVE_INFINITY)
-  /** Whether this host is one of the holders. */
+  /** Whether this host is an owner of the service, or is not registered yet and therefore connects by itself. */
   isOwned = true
   /** Whether this host gives its opinion on the primary's liveness when another host suspects it. */
   isObserver = true
@@ -134,7 +134,7 @@
     return primary !== null && now - primary.lastHeardAt <= RECENTLY_HEARD_MILLISECONDS
   }
 
-  /** Whether requests wait because no primary is known; the next change of the store may name it. */
+  /** Whether requests wait while there is no writable primary; the next change of the store may name it. */
   isAwaitingPrimary(now: Milliseconds): boolean {
     return this.changed.isAwaited && this.writablePrimary(now) === null
   }
@@ -233,7 +233,7 @@
     })
   }
 
-  /** The best server for a read that needs the log up to `need`; null when every candidate is excluded. */
+  /** The best server for a read that needs the log up to `need`; null if all are excluded or may not take work. */
   chooseReader(
     need: LogPosition | null,
     excluded: ReadonlySet<BackendServerId>,
--- a/packages/host/src/sessionStatements.ts
+++ b/packages/host/src/sessionStatements.ts
@@ -74,9 +74,9 @@
 
   /** Why the session may not start; null if it may. */
   get denial(): Denial | null {
-    const place = this.#routes.find(this.database)
-    if (place === null) return UNKNOWN_DATABASE
-    const permission = this.#authorization.authorizeSession(place.route)
+    const routed = this.#routes.find(this.database)
+    if (routed === null) return UNKNOWN_DATABASE
+    const permission = this.#authorization.authorizeSession(routed.route)
     return permission.kind === 'denied' ? permission.denial : null
   }
 
@@ -162,20 +162,20 @@
     if (body.kind === 'commit' && transaction.kind === 'none') {
       return refusal('malformed', 'no transaction is open')
     }
-    const place = this.#findPlace()
-    if (place === null) return this.#fail(denied(UNKNOWN_DATABASE))
-    const permission = await this.#permissionFor(place.route)
+    const routed = this.#findRoutedService()
+    if (routed === null) return this.#fail(denied(UNKNOWN_DATABASE))
+    const permission = await this.#permissionFor(routed.route)
     if (permission.kind === 'denied') {
       return this.#fail(denied(permission.denial))
     }
-    const request = this.#requestFor(statement, place, permission.customer)
+    const request = this.#requestFor(statement, routed, permission.customer)
     const result = await this.#run(request)
     reportStatement(this.#context, this.database, request, result)
     return result
   }
 
   /** Changes of a route apply from the next transaction on; a running transaction keeps its route. */
-  #findPlace(): RoutedService | null {
+  #findRoutedService(): RoutedService | null {
     const transaction = this.#transaction
     if (transaction.kind === 'running') {
       return { route: transaction.route, service: transaction.transaction.service }
@@ -192,18 +192,18 @@
 
   #requestFor(
     statement: RemoteStatement,
-    place: RoutedService,
+    routed: RoutedService,
     customer: CustomerName | null,
   ): StatementRequest {
     const arrivedAt = this.#context.clock.now()
     return {
-      ...place,
+      ...routed,
       customer,
       session: this.#state,
       statement,
       isWrite: this.#isWrite(statement),
       arrivedAt,
-      deadline: addMilliseconds(arrivedAt, place.route.statementTimeoutMilliseconds),
+      deadline: addMilliseconds(arrivedAt, routed.route.statementTimeoutMilliseconds),
       timing: new StatementTiming(),
     }
   }
@@ -247,7 +247,7 @@
     this.#transaction = isEnded ? { kind: 'none' } : FAILURE_REPORTED
   }
 
-  /** Returns the refusal; if a transaction is open, the refusal also ends it. */
+  /** Returns the refusal; an open transaction is rolled back and has to be ended by the caller. */
   #fail(result: StatementResult): StatementResult {
     if (this.#transaction.kind === 'none') return result
     this.dropTransaction()
--- a/packages/host/src/statementRunner.ts
+++ b/packages/host/src/statementRunner.ts
@@ -98,8 +98,8 @@
       }
       last = outcome.mishap
       this.#access.recordFailure(request, server, last, sentAt)
-      const fate = recoveryFor('singleWrite', last, false)
-      if (fate.kind === 'answer') return refused(request, fate.refusal, last)
+      const action = recoveryFor('singleWrite', last, false)
+      if (action.kind === 'answer') return refused(request, action.refusal, last)
       await this.#access.backOffAfter(last)
     }
     return refusalAfter(request, 'singleWrite', last)
@@ -119,8 +119,8 @@
         return result
       }
       last = outcome.outcome.mishap
-      const fate = recoveryFor('singleRead', last, false)
-      if (fate.kind === 'answer') return refused(request, fate.refusal, last)
+      const action = recoveryFor('singleRead', last, false)
+      if (action.kind === 'answer') return refused(request, action.refusal, last)
       await this.#access.exclude(request, outcome.server, excluded)
     }
     return refusalAfter(request, 'singleRead', last)
@@ -151,8 +151,8 @@
 
   async #tryRead(request: StatementRequest, server: BackendServerState): Promise<ReadOutcome> {
     const { clock } = this.#context
-    const limit = earlier(request.deadline, clock.now() + READ_ACQUIRE_MILLISECONDS)
-    const access = await this.#access.acquire(request, server, limit)
+    const acquireBy = earlier(request.deadline, clock.now() + READ_ACQUIRE_MILLISECONDS)
+    const access = await this.#access.acquire(request, server, acquireBy)
     if (access.kind !== 'connected') return { kind: 'notTried', server, access }
     const { link } = access
     const sentAt = clock.now()
--- a/packages/host/src/statements.ts
+++ b/packages/host/src/statements.ts
@@ -26,7 +26,7 @@
 
 /** How long one statement waited at this host, and how many attempts it took. */
 export class StatementTiming {
-  /** Time spent waiting for a primary or for the freshness bound of a read. */
+  /** Time spent waiting for a usable server, or for the freshness bound of a read. */
   newsMilliseconds = 0
   connectionMilliseconds = 0
   tries = 0
--- a/packages/host/src/transactionRunner.ts
+++ b/packages/host/src/transactionRunner.ts
@@ -24,7 +24,7 @@
 import { UNCONFIRMED, refusalAfter, withoutAccess, type NoAccess } from './accessRefusals.js'
 import { earlier } from './waiting.js'
 
-/** The result of an attempt to begin a transaction on one server; null stands for no available server. */
+/** The result of an attempt to begin a transaction on one server. */
 type BeginOutcome =
   | ({ readonly kind: 'begun' } & TransactionStep<LocalTransaction>)
   | ({ readonly kind: 'mishap' } & FailedAttempt)
@@ -72,9 +72,9 @@
         return { result, transaction: null }
       }
       last = begun.outcome.mishap
-      const fate = recoveryFor('firstOfTransaction', last, false)
-      if (fate.kind === 'answer') {
-        return { result: refused(request, fate.refusal, last), transaction: null }
+      const action = recoveryFor('firstOfTransaction', last, false)
+      if (action.kind === 'answer') {
+        return { result: refused(request, action.refusal, last), transaction: null }
       }
       await this.#access.exclude(request, begun.server, excluded)
     }
@@ -87,8 +87,8 @@
   ): Promise<TransactionStep<LocalTransaction>> {
     const isCommit = request.statement.body.kind === 'commit'
     const place: StatementPlace = isCommit ? 'commit' : 'withinTransaction'
-    const isWritten = isCommit && transaction.hasWritten
-    if (isWritten && !transaction.server.mayWrite(this.#context.clock.now())) {
+    const commitsWrites = isCommit && transaction.hasWritten
+    if (commitsWrites && !transaction.server.mayWrite(this.#context.clock.now())) {
       // The commit is unlikely to be confirmed: a rollback has a certain outcome, the commit would not.
       this.end(transaction, 'open')
       return { result: refused(request, 'aborted', UNCONFIRMED), transaction: null }
@@ -96,7 +96,7 @@
     for (;;) {
       const sentAt = this.#context.clock.now()
       const run = (): Promise<AttemptOutcome> => this.#attemptInside(request, transaction)
-      const outcome = await (isWritten
+      const outcome = await (commitsWrites
         ? this.#access.trackConfirmation(transaction.server, run)
         : run())
       if (outcome.kind === 'answered') {
@@ -104,13 +104,13 @@
       }
       const isOpen = outcome.status === 'open'
       this.#access.recordFailure(request, transaction.server, outcome.mishap, sentAt)
-      const fate = recoveryFor(place, outcome.mishap, isOpen)
-      if (fate.kind === 'retryHere' && !this.#access.isExpired(request)) {
+      const action = recoveryFor(place, outcome.mishap, isOpen)
+      if (action.kind === 'retryHere' && !this.#access.isExpired(request)) {
         await this.#access.backOffAfter(outcome.mishap)
         continue
       }
       this.end(transaction, outcome.status)
-      const refusal = fate.kind === 'answer' ? fate.refusal : fate.otherwise
+      const refusal = action.kind === 'answer' ? action.refusal : action.otherwise
       return { result: refused(request, refusal, outcome.mishap), transaction: null }
     }
   }
@@ -139,6 +139,7 @@
     else server.pool.discard(link)
   }
 
+  /** Null when no BEGIN was sent and the next attempt may follow at once. */
   async #tryBegin(
     request: StatementRequest,
     readOnly: boolean,
@@ -154,13 +155,13 @@
     if (request.isWrite && !server.mayWrite(clock.now())) {
       return { kind: 'notTried', access: UNCONFIRMED }
     }
-    const limit = atPrimary
+    const acquireBy = atPrimary
       ? request.deadline
       : earlier(request.deadline, clock.now() + READ_ACQUIRE_MILLISECONDS)
-    const access = await this.#access.acquire(request, server, limit)
+    const access = await this.#access.acquire(request, server, acquireBy)
     if (access.kind !== 'connected') {
-      const isElsewhere = !atPrimary && this.#access.excludeIfReplaceable(request, server, excluded)
-      return isElsewhere ? null : { kind: 'notTried', access }
+      const isExcluded = !atPrimary && this.#access.excludeIfReplaceable(request, server, excluded)
+      return isExcluded ? null : { kind: 'notTried', access }
     }
     const { link } = access
     const sentAt = clock.now()
--- a/packages/host/src/waiting.ts
+++ b/packages/host/src/waiting.ts
@@ -1,5 +1,5 @@
 /**
- * Cancellable delays, deadlines for promises, and a signal that waiters wait for with a timeout.
+ * Cancellable delays, deadlines for promises, and a signal that can be awaited with a timeout.
  *
  * @internal
  */
