--- a/packages/host/__tests__/statements.spec.ts
+++ b/packages/host/__tests__/statements.spec.ts
@@ -169,7 +169,7 @@
       if (host === undefined) return
       const disconnected = await fixture.caller(host, 'latest')
       await runAll(disconnected, ['begin', 'write 1'])
-      disconnected.leave()
+      disconnected.disconnect()
       const next = await fixture.caller(host, 'latest')
       expect(await runAll(next, ['write 2', 'read 1'])).toEqual(['done', 'done'])
       expect(fixture.group.acknowledged.length).toEqual(1)
--- a/packages/host/__tests__/support/caller.ts
+++ b/packages/host/__tests__/support/caller.ts
@@ -50,7 +50,7 @@
     return answer.kind === 'refused' ? answer.refusal : 'done'
   }
 
-  leave(): void {
+  disconnect(): void {
     this.isClosed = true
     this.#events?.ended()
   }
--- a/packages/host/src/limitGranter.ts
+++ b/packages/host/src/limitGranter.ts
@@ -33,7 +33,7 @@
   readonly #context: HostContext
   readonly #plan: LimitPlan
   readonly #parts = new Map<CustomerName, LimitPart>()
-  #grantsSince = PROCESS_START
+  #refillsFrom = PROCESS_START
   #isLeaving = false
 
   constructor(context: HostContext, plan: LimitPlan) {
@@ -48,7 +48,7 @@
   joined(): void {
     const { clock, settings } = this.#context
     this.#parts.clear()
-    this.#grantsSince = addMilliseconds(clock.now(), settings.configurationMilliseconds)
+    this.#refillsFrom = addMilliseconds(clock.now(), settings.configurationMilliseconds)
   }
 
   /** Declines all further requests, because this host stops and its parts pass to other hosts. */
@@ -80,7 +80,7 @@
       existing.reconfigure(limit, parts)
       return existing
     }
-    const part = new LimitPart(limit, parts, tolerance, this.#grantsSince)
+    const part = new LimitPart(limit, parts, tolerance, this.#refillsFrom)
     this.#parts.set(customer, part)
     return part
   }
--- a/packages/host/src/serverPool.ts
+++ b/packages/host/src/serverPool.ts
@@ -298,13 +298,13 @@
 
   /** The waiters that exceed the number of connections being opened for their customer. */
   #waitersWithoutConnection(): LinkWaiter[] {
-    const unclaimed = new Map(this.#opener.openingByCustomer)
+    const unassigned = new Map(this.#opener.openingByCustomer)
     const uncovered: LinkWaiter[] = []
     for (const waiter of this.#queue.waiting()) {
       const customer = customerOf(waiter.use)
-      const left = unclaimed.get(customer) ?? 0
+      const left = unassigned.get(customer) ?? 0
       if (left === 0) uncovered.push(waiter)
-      else unclaimed.set(customer, left - 1)
+      else unassigned.set(customer, left - 1)
     }
     return uncovered
   }
