--- a/packages/host/__tests__/customers.spec.ts
+++ b/packages/host/__tests__/customers.spec.ts
@@ -92,7 +92,7 @@
   ]
   for (const [name, customers] of keyChanges) {
     // A transaction must not be committed for a customer that is no longer allowed to write.
-    it(`no longer commits open transactions once it is ${name}`, async () => {
+    it(`no longer lets open transactions commit once it is ${name}`, async () => {
       await withOneHost(async (fixture, host) => {
         const caller = await fixture.caller(host, 'own', 'key-of-alfa')
         expect([await caller.outcomeOf('begin'), await caller.outcomeOf('write 1')]).toEqual([
--- a/packages/host/__tests__/statements.spec.ts
+++ b/packages/host/__tests__/statements.spec.ts
@@ -16,41 +16,56 @@
 
 describe('statements on an entry host', () => {
   const conversations: readonly (readonly [string, string, string, string])[] = [
-    ['a read and a write', 'own', 'read 1, write 1, read 1', 'done, done, done'],
+    ['answers a read and a write', 'own', 'read 1, write 1, read 1', 'done, done, done'],
     [
-      'a transaction',
+      'answers a transaction',
       'own',
       'begin, read 1, write 1, commit, read 1',
       'done, done, done, done, done',
     ],
     [
-      'a reading transaction',
+      'answers a reading transaction',
       'bounded',
       'begin read, read 1, read 2, commit',
       'done, done, done, done',
     ],
-    ['a rollback', 'latest', 'begin, write 1, rollback, read 1', 'done, done, done, done'],
-    ['an empty transaction', 'latest', 'begin, commit', 'done, done'],
-    ['a prepared statement', 'own', 'prepare s write, execute s 1, read 1', 'done, done, done'],
-    ['an unknown prepared statement', 'own', 'execute s 1, read 1', 'unknownStatement, done'],
+    ['answers a rollback', 'latest', 'begin, write 1, rollback, read 1', 'done, done, done, done'],
+    ['answers an empty transaction', 'latest', 'begin, commit', 'done, done'],
     [
-      'an unknown prepared statement in a transaction',
+      'answers a prepared statement',
+      'own',
+      'prepare s write, execute s 1, read 1',
+      'done, done, done',
+    ],
+    [
+      'refuses an unknown prepared statement',
+      'own',
+      'execute s 1, read 1',
+      'unknownStatement, done',
+    ],
+    [
+      'refuses an unknown prepared statement in a transaction',
       'own',
       'begin, execute s 1, read 1, rollback, read 1',
       'done, unknownStatement, malformed, done, done',
     ],
     [
-      'a write in a reading transaction',
+      'refuses a write in a reading transaction',
       'own',
       'begin read, write 1, rollback',
       'done, readOnly, done',
     ],
-    ['a commit without a transaction', 'own', 'commit, read 1', 'malformed, done'],
-    ['a begin within a transaction', 'own', 'begin, begin, rollback', 'done, malformed, done'],
-    ['text that is not a statement', 'own', 'nonsense, read 1', 'malformed, done'],
+    ['refuses a commit without a transaction', 'own', 'commit, read 1', 'malformed, done'],
+    [
+      'refuses a begin within a transaction',
+      'own',
+      'begin, begin, rollback',
+      'done, malformed, done',
+    ],
+    ['refuses text that is not a statement', 'own', 'nonsense, read 1', 'malformed, done'],
   ]
   for (const [name, database, texts, outcomes] of conversations) {
-    it(`answers ${name}`, async () => {
+    it(name, async () => {
       await withHostFixture(1, async (fixture, [host]) => {
         if (host === undefined) return
         const caller = await fixture.caller(host, database)
@@ -82,7 +97,7 @@
     ['a commit', ['begin', 'write 1'], 'commit', 'cutAfter', 'outcomeUnknown', 0],
   ]
   for (const [name, before, text, fault, outcome, runs] of losses) {
-    it(`answers ${name} with ${outcome} after the fault ${fault}`, async () => {
+    it(`answers ${name} correctly after the fault ${fault}`, async () => {
       await withHostFixture(1, async (fixture, [host]) => {
         if (host === undefined) return
         const caller = await fixture.caller(host, 'own')
