--- a/packages/host/src/changeDelayBudget.ts
+++ b/packages/host/src/changeDelayBudget.ts
@@ -48,7 +48,7 @@
 
 /**
  * Each change ends the watch of every host, so that the start of many hosts or servers costs as many calls as
- * changes times hosts. When 65 hosts start in front of 18 servers, half a second saves two calls in three.
+ * changes times hosts. Batching for half a second saved two calls in three when 65 hosts started with 18 servers.
  */
 const BATCH_MILLISECONDS = 1000
 
@@ -57,9 +57,9 @@
 const LONGEST_RETRY_DELAY_MILLISECONDS = 800
 
 /**
- * A host that started while the store was unavailable serves no caller until its first list. With the longer
- * delay, nine such hosts were ready 0.2 to 0.9 s after the store came back. This one costs four calls a second
- * per host, of the store's 2,000.
+ * A host that started while the store was unavailable serves no caller until its first list. With the longest retry
+ * delay above, nine such hosts were ready 0.2 to 0.9 s after the store came back. This delay costs four calls a
+ * second per host, of the store's 2,000.
  */
 const LONGEST_INITIAL_RETRY_DELAY_MILLISECONDS = 250
 
--- a/packages/host/src/changeFeedReader.ts
+++ b/packages/host/src/changeFeedReader.ts
@@ -18,8 +18,8 @@
 /** A host of the zone that can forward changes of the store. */
 export interface ChangeFeedSource {
   readonly name: string
-  /** Null when no response arrived within `limit` milliseconds. */
-  requestChanges(question: ChangeFeedRequest, limit: number): Promise<ChangeFeedResponse | null>
+  /** Null when the host cannot be reached or did not respond within `limit` milliseconds. */
+  requestChanges(request: ChangeFeedRequest, limit: number): Promise<ChangeFeedResponse | null>
 }
 
 export interface ChangeFeedSources {
@@ -44,9 +44,9 @@
   readonly #sources: ChangeFeedSources
   readonly #skipped: Backoffs<string>
 
-  constructor(context: HostContext, peers: ChangeFeedSources) {
+  constructor(context: HostContext, sources: ChangeFeedSources) {
     this.#context = context
-    this.#sources = peers
+    this.#sources = sources
     this.#skipped = new Backoffs(context.clock)
   }
 
@@ -56,16 +56,16 @@
   }
 
   /** The changes after a revision; null when no host of the zone can provide them. */
-  async watch(question: ChangeFeedRequest): Promise<ReceivedChanges | null> {
+  async watch(request: ChangeFeedRequest): Promise<ReceivedChanges | null> {
     for (;;) {
-      const peer = this.#nextSource()
-      if (peer === undefined) return null
+      const source = this.#nextSource()
+      if (source === undefined) return null
       const askedAt = this.#context.clock.now()
-      const limit = question.wait + ANSWER_ALLOWANCE_MILLISECONDS
-      const answer = await peer.requestChanges(question, limit)
-      if (answer?.kind === 'news' && answer.revision >= question.after) return read(answer, askedAt)
-      this.#skip(peer.name, reasonOf(answer))
-      // The timeout has used up the wait, so no other host is tried.
+      const limit = request.wait + ANSWER_ALLOWANCE_MILLISECONDS
+      const answer = await source.requestChanges(request, limit)
+      if (answer?.kind === 'news' && answer.revision >= request.after) return read(answer, askedAt)
+      this.#skip(source.name, reasonOf(answer))
+      // The wait is usually used up by then, so no other host is tried.
       if (answer === null) return null
     }
   }
@@ -93,7 +93,7 @@
   }
 }
 
-/** A response of an older revision than this host's comes from a host that lags or was paused. */
+/** Why a host is skipped. `behind`: it lags or was paused, since its revision is older than this host's. */
 function reasonOf(answer: ChangeFeedResponse | null): string {
   switch (answer?.kind) {
     case undefined:
--- a/packages/host/src/changeFeedServer.ts
+++ b/packages/host/src/changeFeedServer.ts
@@ -11,10 +11,13 @@
 import type { ChangeFeedResponse, ChangeFeedRequest } from './changeFeedMessages.js'
 import { Signal } from './waiting.js'
 
-/** Longer than any interval between two requests of one host. */
+/** How long a host counts as a reader after its last request; longer than any interval between two of its requests. */
 const READER_ACTIVE_MILLISECONDS = 5000
 
-/** Equals the batching interval; a host whose requests still wait repeats `isAwaited` in its next request. */
+/**
+ * How long `isAwaited` of a request holds. Equals the batching interval; a host whose requests still wait repeats it in
+ * its next request.
+ */
 const REQUESTS_WAITING_MILLISECONDS = 1000
 
 /** Age of a response: it includes everything up to `knownAt`, and no change in it is older than `madeSince`. */
@@ -60,7 +63,7 @@
     this.#serve(age.knownAt)
   }
 
-  /** Adds changes forwarded by another host: kept, so that this host can replace it, but not forwarded again. */
+  /** Adds changes forwarded by another host: kept, so that this host can take over from it, but not forwarded. */
   takeFromHost(events: DirectoryEvents, age: ChangeAge): void {
     this.#history.append(events.changes, events.revision, age.madeSince)
     this.suspend()
--- a/packages/host/src/changeUrgency.ts
+++ b/packages/host/src/changeUrgency.ts
@@ -1,5 +1,5 @@
 /**
- * Decides whether callers of this host wait for the next change in the store.
+ * Decides after a change in the store whether callers may be waiting for the next one, which then must not be batched.
  *
  * @internal
  */
@@ -9,7 +9,7 @@
 
 /** How this host is involved with the services that changes concern. */
 export interface ServiceInterest {
-  /** Whether it holds connections to the service's servers, or may have to change its primary. */
+  /** Whether it uses the service's servers, may have to change its primary, or forwards changes to such hosts. */
   worksWith(service: string): boolean
   serviceOf(server: BackendServerId): string | null
 }
--- a/packages/host/src/decisionLog.ts
+++ b/packages/host/src/decisionLog.ts
@@ -2,12 +2,12 @@
  * Writes one structured line for each decision, within a budget: an event writes a limited number of lines a second,
  * and a further line reports how many were left out.
  */
-/** Limit of lines of one event. At 15 microseconds a line, all events together stay below 1% of a core. */
+/** Limit of lines of one event. At 15 microseconds a line, all events together take about 1% of a core. */
 const LINES_PER_SECOND = 15
 
 /**
- * Limit for refused statements, which operators need in order to answer callers' complaints: it exceeds the refusals
- * of a host that still answers any statements.
+ * Limit for refused statements, which operators need in order to answer callers' complaints: a host that still answers
+ * any statements refuses fewer than this.
  */
 const REFUSALS_PER_SECOND = 100
 
--- a/packages/host/src/failoverController.ts
+++ b/packages/host/src/failoverController.ts
@@ -4,7 +4,7 @@
  *
  * The claim is a record in the store under a lease; the store's revision of it is the fencing token, so that
  * the orders of a holder whose process was paused are refused once another host has claimed. A claim that
- * disappears before the change is done is taken over by another host: replicas may be paused, and an order to
+ * disappears before the change is done is followed by a new one: replicas may be paused, and an order to
  * promote may still be under way, which only a newer token stops.
  *
  * @internal
@@ -68,7 +68,7 @@
   readonly #orders: GroupOrderSender
   readonly #claims: PrimaryClaims
   #changeRecord: StoredChangeRecord | null = null
-  /** When another host's claim ended without a record that the change was done. */
+  /** When a claim, of any host, ended without a record that the change was done. */
   #abandonedAt: Milliseconds | null = null
   #suspendedUntil = milliseconds(0)
   #isChanging = false
@@ -144,29 +144,29 @@
 
   #reasonToChange(now: Milliseconds): string | null {
     const rank = this.#rank()
-    const turn = rank * RANK_DELAY_MILLISECONDS
-    if (this.#abandonedAt !== null && now >= addMilliseconds(this.#abandonedAt, turn)) {
+    const turnDelay = rank * RANK_DELAY_MILLISECONDS
+    if (this.#abandonedAt !== null && now >= addMilliseconds(this.#abandonedAt, turnDelay)) {
       return 'abandoned'
     }
     const { primary } = this.#service
     if (primary === null) return null
     const known = this.#directory.get(primary.entry.server)
     const leavingSince = known?.leavingSince ?? null
-    if (leavingSince !== null && now >= addMilliseconds(leavingSince, turn)) return 'leaving'
+    if (leavingSince !== null && now >= addMilliseconds(leavingSince, turnDelay)) return 'leaving'
     const { server } = primary.entry
-    const isAccused = this.#suspicion.isSuspected(server, now)
-    if (isAccused) primary.probeLiveness(now)
-    const signs = {
+    const isSuspected = this.#suspicion.isSuspected(server, now)
+    if (isSuspected) primary.probeLiveness(now)
+    const observations = {
       primary: server,
       silentMilliseconds: primary.silentMilliseconds(now),
       refusals: primary.pool.refusals,
       logGrewAgo: now - this.#service.lastReplicaProgressAt,
       reachedThroughOthersAgo: now - this.#service.lastRelayedAnswerAt,
     }
-    const advice = this.#suspicion.advise(signs, this.#observers().length, rank, now)
+    const advice = this.#suspicion.advise(observations, this.#observers().length, rank, now)
     if (advice !== 'trust') this.#castVote({ primary: server, reaches: false }, now)
     else if (
-      isAccused &&
+      isSuspected &&
       this.#service.reachesPrimary(now) &&
       this.#service.heardPrimaryRecently(now)
     ) {
@@ -214,7 +214,7 @@
     const puts = value === null ? [] : [{ key, value, lease: 0 }]
     const removes = value === null ? [key] : []
     const made = await this.#store.change({ expected: [], puts, removes }, CALL_LIMIT_MILLISECONDS)
-    // A lost vote is cast again at the next repetition.
+    // A vote that could not be written is cast again when it is due for repetition.
     if (made.isErr()) this.#context.log.write('vote_failed', { ...made.error })
   }
 
@@ -313,13 +313,13 @@
   }
 
   /**
-   * A promotion resumes paused replicas, but not one whose pause arrived late or was for a later term: it would
-   * lag forever, and the other replicas would serve all its reads.
+   * A promotion resumes paused replicas, but not one whose pause arrived late or was for a later term. Without an
+   * order to resume it would lag forever, and the other replicas would serve all its reads.
    */
   async #resumePaused(primary: BackendServerId): Promise<void> {
-    const others = this.#replicas(primary)
+    const replicas = this.#replicas(primary)
     await Promise.all(
-      others.map(async ({ server }) => {
+      replicas.map(async ({ server }) => {
         const report = await this.#orders.report(server)
         if (report === null || report.pausedFor === 0) return
         const resumed = await this.#orders.resume(server)
--- a/packages/host/src/hostFleet.ts
+++ b/packages/host/src/hostFleet.ts
@@ -63,7 +63,7 @@
   /** Hosts whose records are missing from a restored store. */
   readonly #missingHosts = new Set<string>()
   #reRegistrationDeadline = milliseconds(0)
-  /** Services whose primary was recently looked for through other hosts. */
+  /** Services whose primary this host recently tried to reach through other hosts. */
   readonly #indirectPauses: Backoffs<string>
   /** The hosts through which this one follows the store, in order of preference. */
   #changeFeedHosts: readonly string[] = []
@@ -120,7 +120,7 @@
 
   /**
    * Plans which hosts hold connections to which service, if the known hosts or the services have changed. Runs once
-   * for all changes of a response, because one plan takes draws in proportion to hosts times services.
+   * for all changes of a response, because a plan computes a hash for each pair of a host and a service.
    */
   plan(services: Iterable<ServiceState>): void {
     if (this.#isPlanned) return
@@ -132,10 +132,10 @@
     for (const service of services) {
       const { connectionLimit } = service.configuration
       const holders = connectionHolders(connectionLimit, this.#hosts.size, requiresKeys)
-      const drawn = planOwners(service.name, this.#hosts, Math.max(holders, MIN_OBSERVERS))
-      // A draw of fewer hosts gives the first ones of a larger draw.
-      const plan = { ...drawn, owners: drawn.owners.slice(0, holders) }
-      const { owners: observers } = drawn
+      const observerPlan = planOwners(service.name, this.#hosts, Math.max(holders, MIN_OBSERVERS))
+      // A plan for fewer hosts contains the first ones of a larger plan.
+      const plan = { ...observerPlan, owners: observerPlan.owners.slice(0, holders) }
+      const { owners: observers } = observerPlan
       this.#ownerPlans.set(service.name, plan)
       this.#observers.set(service.name, observers)
       this.#hostOrder.set(
@@ -198,9 +198,9 @@
     if (known !== undefined) return known
     const owners = ownersForCustomer(plan, name, customer, this.#context.settings)
     const others = order.filter(host => !owners.includes(host))
-    const made = [...owners, ...others]
-    this.#customerOrder.set(subject, made)
-    return made
+    const combined = [...owners, ...others]
+    this.#customerOrder.set(subject, combined)
+    return combined
   }
 
   /** Owners that precede this host, which is one of them; null when there are none. */
@@ -222,8 +222,8 @@
     const known = this.#limitHolders.get(customer)
     if (known !== undefined) return known
     const { settings } = this.#context
-    const drawn = planLimitHolders(customer, this.#hosts)
-    const holders = limitHoldersFrom(drawn, this.#hosts, settings.entryHost, settings)
+    const planned = planLimitHolders(customer, this.#hosts)
+    const holders = limitHoldersFrom(planned, this.#hosts, settings.entryHost, settings)
     this.#limitHolders.set(customer, holders)
     return holders
   }
--- a/packages/host/src/hostRegistration.ts
+++ b/packages/host/src/hostRegistration.ts
@@ -1,6 +1,6 @@
 /**
- * Registers this entry host in the store. The hosts divide the connections of each backend server by the number of
- * registered hosts.
+ * Registers this entry host in the store. From the registered hosts, each host plans which of them hold connections to
+ * which services, and where it forwards statements.
  *
  * @internal
  */
@@ -10,8 +10,8 @@
 import { Signal } from './waiting.js'
 
 /**
- * The record serves to divide connections, which needs no precision, so it is renewed rarely: one call per host
- * every few minutes, where a heartbeat of a second would be most of the fleet's calls. A host that lost power is
+ * Dividing connections among the registered hosts needs no precision, so the lease is renewed rarely: one call per host
+ * every 100 s on average, where a heartbeat every second would be most of the fleet's calls. A host that lost power is
  * counted until its lease ends, which reduces the shares of the others.
  */
 const LIFETIME_MILLISECONDS = 300_000
--- a/packages/host/src/main.ts
+++ b/packages/host/src/main.ts
@@ -21,7 +21,7 @@
 /** A configured port cannot be listened on, perhaps only for now: a supervisor may start the process again. */
 const EXIT_NOT_LISTENING = 3
 
-/** Stands in where the settings contain no address for promotions: none is ordered. */
+/** Used where the settings contain no address for promotions: every order fails as unavailable. */
 const PROMOTION_UNAVAILABLE: PromotionPort = {
   promote: () =>
     Promise.resolve({ kind: 'unavailable', detail: 'no promotion address in the settings' }),
--- a/packages/host/src/plannedStop.ts
+++ b/packages/host/src/plannedStop.ts
@@ -40,8 +40,8 @@
 const RECENTLY_ACTIVE_MILLISECONDS = 200
 
 /**
- * After this share of the grace period no session is accepted. A load balancer may continue to send callers; those
- * that worked until the end of the process lost the answer to a statement that a server had run.
+ * After this share of the grace period no session is accepted. A load balancer may continue to send callers; callers
+ * whose sessions lasted until the process ended lost the answer to a statement that a server had run.
  */
 const INTAKE_SHARE = 0.5
 
@@ -118,7 +118,7 @@
     while (this.#isWorking && this.#elapsed < limit) await sleep(POLL_INTERVAL_MILLISECONDS)
   }
 
-  /** Closes idle sessions one after the other over a share of the grace period; busy ones close after an answer. */
+  /** Closes idle sessions gradually over a share of the grace period. */
   async #closeIdleSessions(): Promise<void> {
     const span = this.#grace * IDLE_CLOSING_SHARE
     for (let left = span; left > 0; left = span - this.#elapsed) {
@@ -135,7 +135,7 @@
   get #idleSessions(): CallerSession[] {
     const before = this.#context.clock.now() - RECENTLY_ACTIVE_MILLISECONDS
     return [...this.#host.sessions]
-      .filter(({ idleSince: restingSince }) => restingSince < before)
+      .filter(({ idleSince }) => idleSince < before)
       .sort((left, right) => left.idleSince - right.idleSince)
   }
 
--- a/packages/host/src/primaryProbe.ts
+++ b/packages/host/src/primaryProbe.ts
@@ -12,14 +12,14 @@
 import type { ServiceState } from './serviceState.js'
 
 /**
- * Probes within the shortest age that a route accepts. A read then finds a bound old enough for replicas to have
- * reached it, even when one answer is lost.
+ * Number of probes within the shortest maximum age that a route accepts. A read then finds a bound old enough for
+ * replicas to have reached it, even when one answer is lost.
  */
 const PROBES_PER_AGE = 4
 const SHORTEST_INTERVAL_MILLISECONDS = 100
 const LONGEST_INTERVAL_MILLISECONDS = 500
 
-/** Interval of probing all servers while no working primary is known. */
+/** Interval at which all servers are probed while no working primary is known. */
 const SEARCH_INTERVAL_MILLISECONDS = 50
 
 /** An answer takes one round trip; after this limit the connection is considered broken. */
--- a/packages/host/src/serviceRegistry.ts
+++ b/packages/host/src/serviceRegistry.ts
@@ -203,7 +203,7 @@
     }
   }
 
-  /** Claims made since the copy are missing from the store, while their holders may still act on them. */
+  /** Claims made after the copy are missing from the store, while their holders may still act on them. */
   #storeRestored(now: Milliseconds): void {
     for (const { failover } of this.#components.values()) failover.storeRestored(now)
     this.#onRestored()
--- a/packages/host/src/storeFollower.ts
+++ b/packages/host/src/storeFollower.ts
@@ -79,7 +79,7 @@
    * The next watch follows a response without a gap. After a pause or a failure the store may accept a watch
    * although it has compacted the changes that the watch must begin with; it reports this only at the end of
    * the watch. Such a watch is therefore brief: the host learns of a missed configuration half a second after
-   * its watch was cut, instead of up to six seconds.
+   * its watch was cut, rather than up to six seconds after it.
    */
   #isContinuous = false
   #isStoreUnavailable = false
@@ -93,18 +93,18 @@
     context: HostContext,
     store: StoreLink,
     listener: StoreListener,
-    exchange: ChangeFeed,
+    changeFeed: ChangeFeed,
   ) {
     this.#context = context
     this.#store = store
     this.#listener = listener
-    this.#changeFeed = exchange
+    this.#changeFeed = changeFeed
     this.#budget = changeDelayBudget(longestChangeDelay(context.settings))
     this.#retryDelay = this.#budget.shortestRetryDelay
   }
 
   async run(): Promise<void> {
-    // After the wait all hosts have registered, so that one list shows through which host to watch.
+    // By then all hosts of the fleet have registered, so that one list shows through which host to watch.
     if (this.#context.settings.isFirstStart) await sleep(this.#budget.batch)
     while (!this.#isStopped) {
       const failure =
@@ -193,7 +193,7 @@
     return this.#changeFeed.reader.watch({ after, wait: this.#budget.zoneWatch, isAwaited })
   }
 
-  /** A later watch at the store counts as a first one, since none was pending there meanwhile. */
+  /** The next watch at the store counts as a first one, since none was pending there meanwhile. */
   async #takeFromHost({ events, isWhole, ...age }: ReceivedChanges): Promise<null> {
     this.#isContinuous = false
     // A change that this host does not have was made after its last known state.
