--- a/packages/host/__tests__/changeDelayBudget.spec.ts
+++ b/packages/host/__tests__/changeDelayBudget.spec.ts
@@ -35,8 +35,8 @@
 
 // A host received a new route four seconds late, and refused its callers because the database was unknown to it. The
 // store was about to compact its history: it reported the change to no host, cut all watches a second later, and
-// accepted the next watch of some hosts although the change to begin with was gone. Such a watch reports nothing
-// until its end.
+// accepted the next watch of some hosts although the change that it had to begin with was gone. Such a watch reports
+// nothing until its end.
 
 /** When the store makes the change and when it compacts its history, in milliseconds. */
 const CHANGE_AT = 1100
@@ -54,7 +54,7 @@
 class CompactingStore {
   readonly waits: number[] = []
   readonly #clock: VirtualClock
-  /** When a change that no caller waits for ends the first watch, so that the host pauses before the next. */
+  /** When a change that is not urgent ends the first watch; unless callers wait, the host pauses before the next. */
   readonly #firstChangeAt: number | null
 
   constructor(clock: VirtualClock, firstChangeAt: number | null) {
@@ -114,7 +114,7 @@
 }
 
 describe('a change that the store did not report', () => {
-  it('is in force within the bound after the watch was cut', async () => {
+  it('is received within the bound after it was made', async () => {
     const { at } = await followCompactingStore(null)
     expect(at - CHANGE_AT < 4000).toEqual(true)
   })
--- a/packages/host/__tests__/changeFeed.spec.ts
+++ b/packages/host/__tests__/changeFeed.spec.ts
@@ -146,14 +146,14 @@
   })
 
   // Guards against the same when the other host does not respond, so that the store is asked late.
-  it('counts from its last known state after waiting unsuccessfully for another host', async () => {
+  it('counts the age of a change from its last known state after waiting unsuccessfully for another host', async () => {
     const { since, from } = await follow([null], 2300)
     expect(from).toEqual(['host-1', 'store'])
     expect(since).toEqual(1000)
   })
 
-  // Guards against an age that reaches back to when this host knew that the change was not made yet.
-  it('counts no change from before its own last known state', async () => {
+  // Guards against an age that reaches back to a time at which this host knew that the change had not been made.
+  it('counts the age of a change from no earlier than its own last known state', async () => {
     const answer = { ...UPDATE, changes: [record('b', 12)], revision: 12, madeAgo: 5000 }
     expect((await follow([answer])).since).toEqual(1000)
   })
--- a/packages/host/__tests__/changeOfPrimary.spec.ts
+++ b/packages/host/__tests__/changeOfPrimary.spec.ts
@@ -32,8 +32,8 @@
 
 describe('a change of primary by entry hosts', () => {
   // After each of these failures callers' writes must succeed again within seconds, at a server that holds
-  // all acknowledged writes. No write may be reported as not kept when it is.
-  const ways: readonly (readonly [string, (scene: HostFixture) => void])[] = [
+  // all acknowledged writes.
+  const failures: readonly (readonly [string, (scene: HostFixture) => void])[] = [
     [
       'crashes',
       scene => {
@@ -58,8 +58,8 @@
       },
     ],
   ]
-  for (const [name, fail] of ways) {
-    it(`the primary ${name}`, async () => {
+  for (const [name, fail] of failures) {
+    it(`replaces a primary that ${name}`, async () => {
       await withHostFixture(3, async (scene, [host]) => {
         if (host === undefined) return
         const caller = await scene.caller(host, 'latest')
@@ -99,7 +99,7 @@
 
   // A network partition separates the primary, two of its three owners and four other hosts from the store and the
   // replicas. Only the third owner finds the primary silent; it waited for seconds because it might have been cut
-  // off itself, while the two other hosts on its side had no vote. Now they vote too.
+  // off itself, while the two other hosts on its side had no vote. Hosts that are not owners have to vote too.
   it('is not delayed when the other owners are cut off together with the primary', async () => {
     const options = { connectionLimit: 22, relayPorts: await freePorts(9) }
     await withHostFixture(9, isolatePrimary, options)
@@ -109,9 +109,9 @@
     ): Promise<void> {
       const isOwner = ({ host }: FixtureHost): boolean => host.find('own')?.service.isOwned === true
       await scene.until(() => hosts.filter(isOwner).length === 3, 'three hosts own the service')
-      const [left] = hosts.filter(isOwner)
+      const [remainingOwner] = hosts.filter(isOwner)
       const others = hosts.filter(each => !isOwner(each))
-      const outside = new Set([left, ...others.slice(0, 2)])
+      const outside = new Set([remainingOwner, ...others.slice(0, 2)])
       for (const each of hosts) {
         if (outside.has(each)) scene.partition(each, P)
         else each.store.behaviour = 'silent'
@@ -142,8 +142,8 @@
     })
   })
 
-  // The primary announces that it is leaving. It serves until another server leads, so that callers see at most a
-  // few refused statements, whose retries succeed within the time limit of one statement.
+  // The primary announces that it is leaving. It serves until another server leads, and the few statements that are
+  // refused meanwhile succeed when the host retries them within their time limit, so that callers see no failure.
   it('replaces a leaving primary without an interruption for callers', async () => {
     await withHostFixture(3, async (scene, [host]) => {
       if (host === undefined) return
--- a/packages/host/__tests__/fleetStart.spec.ts
+++ b/packages/host/__tests__/fleetStart.spec.ts
@@ -17,13 +17,16 @@
   ports: readonly number[],
   run: (scene: HostFixture, first: FixtureHost, key: string) => Promise<void>,
 ): Promise<void> {
-  const start = async (scene: HostFixture, [first]: readonly FixtureHost[]): Promise<void> => {
+  const runWhenRegistered = async (
+    scene: HostFixture,
+    [first]: readonly FixtureHost[],
+  ): Promise<void> => {
     if (first === undefined) return
     const key = hostKey(first.host.name)
     await scene.until(() => scene.store.record(key) !== null, 'it is registered')
     await run(scene, first, key)
   }
-  await withHostFixture(1, start, { relayPorts: ports })
+  await withHostFixture(1, runWhenRegistered, { relayPorts: ports })
 }
 
 describe('the start of hosts', () => {
@@ -45,13 +48,13 @@
   it('only renews the lease of a host that starts again while its record is still stored', async () => {
     const [port = 0] = await freePorts(1)
     await withRegisteredHost([port, port], async (scene, first, key) => {
-      const standing = scene.store.record(key)
-      const granted = callsOf(scene, 'grantLease')
+      const storedRecord = scene.store.record(key)
+      const grantsBefore = callsOf(scene, 'grantLease')
       first.host.close()
       scene.add(first.host.name)
       await scene.until(() => callsOf(scene, 'renewLease') === 1, 'it takes its record over')
-      expect(callsOf(scene, 'grantLease')).toEqual(granted)
-      expect(scene.store.record(key)).toEqual(standing)
+      expect(callsOf(scene, 'grantLease')).toEqual(grantsBefore)
+      expect(scene.store.record(key)).toEqual(storedRecord)
     })
   })
 
--- a/packages/host/__tests__/ownerPlanning.spec.ts
+++ b/packages/host/__tests__/ownerPlanning.spec.ts
@@ -9,7 +9,7 @@
 import { ServiceRegistry, type ServiceRegistryPorts } from '../src/serviceRegistry.js'
 
 // Guards against planning the owners again for each host that is added: when the fleet starts, or after a power loss,
-// that makes hosts times services times hosts draws at every host.
+// every host would compute hosts times services times hosts hashes.
 
 const SERVICES = 14
 const ZONES = ['a1', 'a2', 'a3', 'b1', 'b2', 'b3']
@@ -40,14 +40,14 @@
   idleTransactionMilliseconds: 3000,
 }
 
-function createRegistry(plans: string[]): ServiceRegistry {
+function createRegistry(planEvents: string[]): ServiceRegistry {
   const context = {
     settings: { entryHost: SELF, zone: 'a1', region: 'a', drainMilliseconds: 10_000 },
     clock: new VirtualClock(),
     random: new SeededRandom(1),
     log: {
       write: (event: string) => {
-        if (event === 'owners_planned') plans.push(event)
+        if (event === 'owners_planned') planEvents.push(event)
       },
     },
   } as unknown as HostContext
@@ -70,39 +70,44 @@
   /** The first list, and the changes of one watch after it. */
   readonly listed: readonly DirectoryChange[]
   readonly changes: readonly DirectoryChange[]
-  readonly plans: number
+  readonly maxPlans: number
 }
 
 const CASES: readonly Case[] = [
-  { name: 'a list of 9 hosts', listed: [CONFIGURED, ...hosts(0, 9)], changes: [], plans: SERVICES },
   {
-    name: 'a list of 195 hosts',
+    name: 'runs once per service for a list of 9 hosts',
+    listed: [CONFIGURED, ...hosts(0, 9)],
+    changes: [],
+    maxPlans: SERVICES,
+  },
+  {
+    name: 'runs once per service for a list of 195 hosts',
     listed: [CONFIGURED, ...hosts(0, 195)],
     changes: [],
-    plans: SERVICES,
+    maxPlans: SERVICES,
   },
   {
-    name: 'a list of 1,500 hosts',
+    name: 'runs once per service for a list of 1,500 hosts',
     listed: [CONFIGURED, ...hosts(0, 1500)],
     changes: [],
-    plans: SERVICES,
+    maxPlans: SERVICES,
   },
   {
-    name: 'a list and once more for 50 hosts that join at once',
+    name: 'runs once per service for a list, and once more for 50 hosts that join at once',
     listed: [CONFIGURED, ...hosts(0, 195)],
     changes: hosts(195, 245),
-    plans: 2 * SERVICES,
+    maxPlans: 2 * SERVICES,
   },
 ]
 
-describe('owners are planned once per service for', () => {
-  for (const { name, listed, changes, plans } of CASES) {
+describe('the planning of owners', () => {
+  for (const { name, listed, changes, maxPlans } of CASES) {
     it(name, () => {
       const lines: string[] = []
       const registry = createRegistry(lines)
       registry.takeList(listed, NOW, false)
       if (changes.length > 0) registry.takeChanges(changes, NOW)
-      expect(lines.length <= plans).toEqual(true)
+      expect(lines.length <= maxPlans).toEqual(true)
       expect(lines.length >= SERVICES).toEqual(true)
     })
   }
--- a/packages/host/__tests__/storeFollower.spec.ts
+++ b/packages/host/__tests__/storeFollower.spec.ts
@@ -19,8 +19,8 @@
 
 // One host is cut off from the store for four seconds. Meanwhile a backend server announces that it is leaving, which
 // the host receives two seconds late. The host counted the server's remaining time from then, and sent it new work
-// after the time was over, when the server may be gone and another one may use its address. A change received after a
-// failure may be as old as the last response before the failure.
+// after that time was over, when the server may be gone and another one may use its address. A change received after
+// a failure may be as old as the last response before the failure.
 
 const LEAVING: RevisedChange = {
   kind: 'server',
@@ -54,7 +54,7 @@
 
 const CASES: readonly (readonly [string, readonly Step[], number])[] = [
   [
-    'received by a watch that waited is counted from now',
+    'is now when a pending watch reports the change',
     [
       { call: 'list', takes: 10, answer: EMPTY },
       { call: 'watch', takes: 3000, answer: CHANGE },
@@ -62,7 +62,7 @@
     3010,
   ],
   [
-    'received after a failed watch is counted from the last response of the store',
+    'is that of the last response when a watch failed before the change was received',
     [
       { call: 'list', takes: 10, answer: EMPTY },
       { call: 'watch', takes: 500, answer: EMPTY },
@@ -72,7 +72,7 @@
     510,
   ],
   [
-    'listed after the history was compacted is counted from the last response of the store',
+    'is that of the last response when the change is listed after the history was compacted',
     [
       { call: 'list', takes: 10, answer: EMPTY },
       { call: 'watch', takes: 500, answer: EMPTY },
@@ -82,7 +82,7 @@
     510,
   ],
   [
-    'of the first list is counted from the request for it',
+    'is that of the request when the first list contains the change',
     [{ call: 'list', takes: 10, answer: CHANGE }],
     0,
   ],
@@ -120,7 +120,7 @@
   })
 }
 
-describe('a change', () => {
+describe('the earliest time at which a change may have been made', () => {
   for (const [name, steps, since] of CASES) {
     it(name, async () => {
       expect(await earliestChangeTime(steps)).toEqual(since)
--- a/packages/host/__tests__/storeRestored.spec.ts
+++ b/packages/host/__tests__/storeRestored.spec.ts
@@ -12,7 +12,7 @@
   type FixtureHost,
 } from './support/hostFixture.js'
 
-const rest = (span: number): Promise<void> => new Promise(resolve => setTimeout(resolve, span))
+const wait = (span: number): Promise<void> => new Promise(resolve => setTimeout(resolve, span))
 
 const linesOf = (hosts: readonly FixtureHost[], event: string) =>
   hosts.flatMap(({ lines }) => lines.filter(line => line.event === event))
@@ -24,8 +24,8 @@
   )
 
 describe('hosts whose store was restored from an older copy', () => {
-  // The copy is older than the hosts' records. The first hosts to learn of the restore considered the others gone, and
-  // planned the connections again, once more as each of them returned.
+  // The copy is older than the hosts' records. The first hosts to learn of the restore considered the others gone and
+  // planned the connections again, and then once more for each host that registered again.
   it('register again without considering each other gone', async () => {
     const options = { relayPorts: await freePorts(4), connectionLimit: 12 }
     await withHostFixture(
@@ -33,13 +33,13 @@
       async (scene, hosts) => {
         const before = scene.store.snapshot()
         const older = { ...before, records: new Map(), leases: new Map() }
-        const isAll = (): boolean => scene.store.recordKeys(hostKey('')).length === 4
-        await scene.until(isAll, 'all hosts are registered')
-        await rest(1200)
+        const areAllRegistered = (): boolean => scene.store.recordKeys(hostKey('')).length === 4
+        await scene.until(areAllRegistered, 'all hosts are registered')
+        await wait(1200)
         const planned = linesOf(hosts, 'owners_planned').length
         scene.store.restore(older)
         await untilRestoreKnown(scene, hosts)
-        await scene.until(isAll, 'all hosts are registered again', 4000)
+        await scene.until(areAllRegistered, 'all hosts are registered again', 4000)
         expect(linesOf(hosts, 'owners_planned').length).toEqual(planned)
       },
       options,
@@ -50,14 +50,16 @@
     await withHostFixture(2, async (scene, hosts) => {
       const copy = scene.store.snapshot()
       scene.configure({ version: 2, routes: CONFIGURATION.routes.slice(0, 1) })
-      const [left] = CONFIGURATION.routes
-      const isTaken = ({ host }: FixtureHost): boolean => host.find('own') === null
-      await scene.until(() => hosts.every(isTaken), 'the route is gone')
+      const [remainingRoute] = CONFIGURATION.routes
+      const isInForce = ({ host }: FixtureHost): boolean => host.find('own') === null
+      await scene.until(() => hosts.every(isInForce), 'the route is gone')
       scene.store.restore(copy)
       await untilRestoreKnown(scene, hosts)
-      await rest(200)
-      expect(hosts.every(isTaken)).toEqual(true)
-      expect(hosts.every(({ host }) => host.find(left?.database ?? '') !== null)).toEqual(true)
+      await wait(200)
+      expect(hosts.every(isInForce)).toEqual(true)
+      expect(hosts.every(({ host }) => host.find(remainingRoute?.database ?? '') !== null)).toEqual(
+        true,
+      )
     })
   })
 
@@ -72,7 +74,7 @@
       await scene.until(() => claims().length === 1, 'a host claims the change')
       scene.store.restore(copy)
       await untilRestoreKnown(scene, hosts)
-      await rest(3000)
+      await wait(3000)
       expect(claims().length).toEqual(1)
       scene.promotionFault = () => 'none'
       await scene.until(() => scene.group.promotions > 0, 'another server leads', 9000)
@@ -89,28 +91,29 @@
     await withHostFixture(1, async (scene, [host]) => {
       const copy = scene.store.snapshot()
       scene.listServer(A, { isLeaving: true })
-      const left = (): boolean =>
+      const knowsLeaving = (): boolean =>
         host?.lines.some(({ fields }) => fields.server === A && fields.isLeaving === true) ?? false
-      await scene.until(left, 'the host knows that it leaves')
+      await scene.until(knowsLeaving, 'the host knows that it leaves')
       scene.store.restore(copy)
       await untilRestoreKnown(scene, scene.hosts)
-      const later = host?.lines.filter(
+      const reverted = host?.lines.filter(
         ({ event, fields }) => event === 'server_changed' && fields.isLeaving === false,
       )
-      expect(later?.length).toEqual(0)
+      expect(reverted?.length).toEqual(0)
     })
   })
 })
 
 describe('a stopped host', () => {
-  // A timer that waited for a restore of the store kept the process alive for minutes after the stop.
+  // Between two renewals of its record, the registration waited for a restore of the store on a timer that the stop did
+  // not end, so that the process stayed alive for minutes.
   it('leaves no timer that keeps its process alive', async () => {
     const timers = (): number =>
       process.getActiveResourcesInfo().filter(each => each === 'Timeout').length
     const before = timers()
     await withHostFixture(2, scene => scene.ready())
     const limit = performance.now() + 3000
-    while (timers() > before && performance.now() < limit) await rest(50)
+    while (timers() > before && performance.now() < limit) await wait(50)
     expect(timers() <= before).toEqual(true)
   })
 })
--- a/packages/host/__tests__/support/followerContext.ts
+++ b/packages/host/__tests__/support/followerContext.ts
@@ -4,7 +4,7 @@
 import type { ChangeFeed } from '../../src/storeFollower.js'
 import { ChangeFeedReader, type ChangeFeedSource } from '../../src/changeFeedReader.js'
 
-/** The part of a host's context that `StoreFollower` needs. */
+/** The part of a host's context that `StoreFollower` and the change feed need. */
 export const followerContext = (clock: VirtualClock): HostContext =>
   ({
     clock,
