--- a/packages/host/__tests__/changeOfPrimary.spec.ts
+++ b/packages/host/__tests__/changeOfPrimary.spec.ts
@@ -59,7 +59,7 @@
     ],
   ]
   for (const [name, fail] of failures) {
-    it(`replaces a primary that ${name}`, async () => {
+    it(`the primary ${name}`, async () => {
       await withHostFixture(3, async (scene, [host]) => {
         if (host === undefined) return
         const caller = await scene.caller(host, 'latest')
