--- a/packages/state/__tests__/changeOfPrimary.spec.ts
+++ b/packages/state/__tests__/changeOfPrimary.spec.ts
@@ -14,10 +14,10 @@
 
 const [A, B] = [backendServerId('a'), backendServerId('b')]
 
-function record(of: number, given: Partial<GroupRecord> = {}): GroupRecord {
-  const start = { term: term(of), primary: B, startsAfter: logPosition(1, 1) }
+function record(termNumber: number, given: Partial<GroupRecord> = {}): GroupRecord {
+  const start = { term: term(termNumber), primary: B, startsAfter: logPosition(1, 1) }
   return groupRecord({
-    term: term(of),
+    term: term(termNumber),
     primary: B,
     termStarts: [...groupRecord().termStarts, start],
     ...given,
--- a/packages/state/__tests__/differential/callerChecker.ts
+++ b/packages/state/__tests__/differential/callerChecker.ts
@@ -28,7 +28,7 @@
   }
 
   /** Records a further statement of the transaction that `opener` opened. */
-  requestAgain(id: string, opener: string): void {
+  continueTransaction(id: string, opener: string): void {
     this.request({ ...this.get(opener), id, opensTransaction: false })
   }
 
--- a/packages/state/__tests__/differential/failureScenarios.spec.ts
+++ b/packages/state/__tests__/differential/failureScenarios.spec.ts
@@ -87,7 +87,7 @@
    * primary answers as primary, and does not see the write.
    */
   {
-    mutation: 'primaryWordAsBound',
+    mutation: 'primaryAnswerAsBound',
     title: 'a primary that was replaced without learning of it serves no stale read',
     violation: /^stale: lookup/,
     actions: [
@@ -124,7 +124,7 @@
       request('p1', 'roaming-1', 'assign'),
     ],
   },
-  /** The same, with the write reported to the caller or to the core as not run although it ran. */
+  /** The answer to a write is lost on its way. If the core takes this for a refusal, it runs the write again. */
   {
     mutation: 'treatLostAnswerAsRefusal',
     title: 'a write whose answer was lost is not treated as one that did not run',
--- a/packages/state/__tests__/differential/fakeBackendServer.ts
+++ b/packages/state/__tests__/differential/fakeBackendServer.ts
@@ -56,18 +56,18 @@
     return true
   }
 
-  fence(fenced: number): boolean {
-    if (fenced < this.#fencedTerm) return false
-    this.#fencedTerm = fenced
-    if (this.#ledTerm !== null && this.#ledTerm < fenced) this.incarnation += 1
+  fence(newTerm: number): boolean {
+    if (newTerm < this.#fencedTerm) return false
+    this.#fencedTerm = newTerm
+    if (this.#ledTerm !== null && this.#ledTerm < newTerm) this.incarnation += 1
     return true
   }
 
-  promote(promoted: number): boolean {
-    if (this.#fencedTerm !== promoted || this.#ledTerm === promoted) return false
-    this.#ledTerm = promoted
+  promote(newTerm: number): boolean {
+    if (this.#fencedTerm !== newTerm || this.#ledTerm === newTerm) return false
+    this.#ledTerm = newTerm
     this.#followedTerm = null
-    this.#log.push({ term: promoted, write: null })
+    this.#log.push({ term: newTerm, write: null })
     return true
   }
 
--- a/packages/state/__tests__/differential/fakeShell.ts
+++ b/packages/state/__tests__/differential/fakeShell.ts
@@ -26,7 +26,7 @@
 const POSITION_TIMEOUT_MILLISECONDS = 300
 const CONNECT_TIMEOUT_MILLISECONDS = 200
 const SWEEP_PERIOD_MILLISECONDS = 5
-/** How long after it started to leave a server may get new work. */
+/** How long a server may get new work after it has started to leave. */
 const NEW_WORK_LIMIT_MILLISECONDS = 3000
 
 interface FakeConnection {
@@ -187,7 +187,7 @@
     }
     const commit = `commit-${opener}`
     this.#openerByCommit.set(commit, opener)
-    this.#callers.requestAgain(commit, opener)
+    this.#callers.continueTransaction(commit, opener)
     this.#sendRequest(connection, commit, false)
     this.send({
       kind: 'transactionContinued',
--- a/packages/state/__tests__/limits.spec.ts
+++ b/packages/state/__tests__/limits.spec.ts
@@ -22,7 +22,7 @@
     { limit: 25, hosts: 40, share: 1 },
   ]
   for (const { limit, hosts, share } of cases) {
-    it(`${limit} connections, ${hosts} entry hosts`, () => {
+    it(`divides ${limit} connections among ${hosts} entry hosts`, () => {
       expect(connectionShare(limit, RESERVED, hosts)).toEqual(share)
     })
   }
@@ -42,8 +42,8 @@
   })
 })
 
-const DELAY = 1000
-const LONGEST_LAG = 400
+const GROWTH_DELAY_MILLISECONDS = 1000
+const MAX_NOTICE_DELAY_MILLISECONDS = 400
 
 interface FleetChange {
   readonly joins: boolean
@@ -71,7 +71,7 @@
     for (; time < until; time += 50) {
       for (const each of changeNotices)
         if (each.at === time) each.host.count.update(each.live, milliseconds(time))
-      if (time < lastJoin + LONGEST_LAG) continue
+      if (time < lastJoin + MAX_NOTICE_DELAY_MILLISECONDS) continue
       const now = milliseconds(time)
       const holding = hosts.filter(host => time < host.until)
       const shares = holding.map(({ count }) =>
@@ -102,18 +102,18 @@
       lastJoin = time
     } else if (leaver !== undefined) {
       // It drains: its connections close well after the others may learn that it left.
-      leaver.until = time + DELAY - LONGEST_LAG
+      leaver.until = time + GROWTH_DELAY_MILLISECONDS - MAX_NOTICE_DELAY_MILLISECONDS
     }
     for (const host of hosts) changeNotices.push({ at: time + host.lag, live, host })
   }
-  runUntil(time + 3 * DELAY)
+  runUntil(time + 3 * GROWTH_DELAY_MILLISECONDS)
   return greatest
 }
 
 describe('EntryHostCount', () => {
   const steps = (most: number) => fc.integer({ min: 0, max: most / 50 }).map(count => count * 50)
   const changes = fc.array(fc.record({ joins: fc.boolean(), gap: steps(1500) }), { maxLength: 8 })
-  const lags = fc.array(steps(LONGEST_LAG - 50), { minLength: 11, maxLength: 11 })
+  const lags = fc.array(steps(MAX_NOTICE_DELAY_MILLISECONDS - 50), { minLength: 11, maxLength: 11 })
 
   /**
    * A host leaves and drains for a while, and the others learn of it at different times. With
@@ -126,7 +126,7 @@
     })
 
   it('keeps the sum of shares under the limit while hosts leave and once joins are known', () => {
-    fc.assert(fits(DELAY), { seed: 7, numRuns: 300 })
+    fc.assert(fits(GROWTH_DELAY_MILLISECONDS), { seed: 7, numRuns: 300 })
   })
 
   it('exceeds the limit without the growth delay', () => {
--- a/packages/state/__tests__/positions.spec.ts
+++ b/packages/state/__tests__/positions.spec.ts
@@ -97,7 +97,7 @@
       size: 2,
     },
     {
-      name: 'counts a server once that disappeared and returned',
+      name: 'counts a server that disappeared and returned only once',
       lists: [whole, [live('a'), live('b')], whole],
       size: 3,
     },
@@ -228,8 +228,8 @@
 })
 
 describe('containsWrite', () => {
-  const start = (of: number, startsAfter: Position) => ({
-    term: term(of),
+  const start = (termNumber: number, startsAfter: Position) => ({
+    term: term(termNumber),
     primary: backendServerId('a'),
     startsAfter: at(startsAfter),
   })
--- a/packages/state/__tests__/proxyCore.spec.ts
+++ b/packages/state/__tests__/proxyCore.spec.ts
@@ -43,16 +43,16 @@
   })
 
   const needs = [
-    { of: 'browse', roams: false, asks: [] },
-    { of: 'browse', roams: true, asks: ['a', 'b'] },
-    { of: 'lookup', roams: false, asks: ['a', 'b'] },
-    { of: 'lookup', roams: true, asks: ['a', 'b'] },
+    { workClass: 'browse', roams: false, asks: [] },
+    { workClass: 'browse', roams: true, asks: ['a', 'b'] },
+    { workClass: 'lookup', roams: false, asks: ['a', 'b'] },
+    { workClass: 'lookup', roams: true, asks: ['a', 'b'] },
   ]
-  for (const { of, roams, asks } of needs) {
+  for (const { workClass, roams, asks } of needs) {
     const bound = asks.length > 0 ? 'a bound asked after its arrival' : 'no bound'
-    it(`needs ${bound} for ${of} of a ${roams ? 'roaming session' : 'session of one connection'}`, () => {
+    it(`needs ${bound} for ${workClass} of a ${roams ? 'roaming session' : 'session of one connection'}`, () => {
       const fixture = new CoreFixture().start()
-      const effects = fixture.arrive(of, { roams })
+      const effects = fixture.arrive(workClass, { roams })
       expect(serversOf(effects, 'askPosition')).toEqual(asks)
       expect(serversOf(effects, 'run').length).toEqual(asks.length > 0 ? 0 : 1)
     })
--- a/packages/state/__tests__/requests.spec.ts
+++ b/packages/state/__tests__/requests.spec.ts
@@ -24,25 +24,35 @@
  */
 describe('a request whose connection broke', () => {
   const cases = [
-    { name: 'a read is retried on another server', of: 'browse', partly: false, outcome: 'again' },
+    {
+      name: 'a read is retried on another server',
+      workClass: 'browse',
+      partly: false,
+      outcome: 'again',
+    },
     {
       name: 'a read whose answer was partly sent is not retried',
-      of: 'browse',
+      workClass: 'browse',
       partly: true,
       outcome: 'connection_lost',
     },
-    { name: 'an idempotent write is retried', of: 'upload', partly: false, outcome: 'again' },
+    {
+      name: 'an idempotent write is retried',
+      workClass: 'upload',
+      partly: false,
+      outcome: 'again',
+    },
     {
       name: 'a write that is not idempotent is not retried',
-      of: 'assign',
+      workClass: 'assign',
       partly: false,
       outcome: 'connection_lost',
     },
   ] as const
-  for (const { name, of, partly, outcome } of cases) {
+  for (const { name, workClass, partly, outcome } of cases) {
     it(name, () => {
       const fixture = new CoreFixture().start()
-      fixture.arrive(of)
+      fixture.arrive(workClass)
       const effects = breakConnection(fixture, 'r1', partly)
       fixture.openAll()
       const again = [...effects, ...fixture.effects.slice(-5)]
@@ -147,7 +157,7 @@
 })
 
 describe('a caller that disconnects', () => {
-  it('while its request runs takes the connection with it', () => {
+  it('while its request runs has the backend connection closed and a new one opened', () => {
     const fixture = new CoreFixture().start()
     fixture.arrive('browse')
     const connection = connectionOf(fixture, 'r1')
@@ -286,10 +296,10 @@
   })
 
   /** One connection hangs while its server answers questions: its caller would wait forever. */
-  for (const of of ['browse', 'assign']) {
-    it(`that holds one ${of} for a minute has it refused`, () => {
+  for (const workClass of ['browse', 'assign']) {
+    it(`that holds one ${workClass} for a minute has it refused`, () => {
       const fixture = new CoreFixture().start()
-      fixture.arrive(of)
+      fixture.arrive(workClass)
       const reasons: string[] = []
       for (let step = 0; step < 310; step += 1) {
         reasons.push(...reasonsOf(fixture.advance(200)))
--- a/packages/state/__tests__/synchronous/customers.spec.ts
+++ b/packages/state/__tests__/synchronous/customers.spec.ts
@@ -128,22 +128,22 @@
 describe('holdersOfServer', () => {
   const cases: readonly (readonly [string, ServerHolders, number])[] = [
     [
-      'the connections of the primary are divided evenly',
+      'divides the connections of a primary evenly',
       { nearServer: 2, farFromServer: 4, isNear: false, isPrimary: true },
       6,
     ],
     [
-      'a near holder of a replica',
+      'counts a far holder of a replica as 0.2 of a near one',
       { nearServer: 3, farFromServer: 3, isNear: true, isPrimary: false },
       3.6,
     ],
     [
-      'a far holder of a replica',
+      'gives a far holder of a replica 0.2 of the part of a near one',
       { nearServer: 3, farFromServer: 3, isNear: false, isPrimary: false },
       18,
     ],
     [
-      'a replica with no holder near it',
+      'divides the connections of a replica evenly if no holder is near it',
       { nearServer: 0, farFromServer: 6, isNear: false, isPrimary: false },
       6,
     ],
--- a/packages/state/__tests__/synchronous/limitPart.spec.ts
+++ b/packages/state/__tests__/synchronous/limitPart.spec.ts
@@ -128,7 +128,7 @@
     expect(bucket.take(milliseconds(Math.ceil(wait)))).toEqual(0)
   })
 
-  it('grants next to nothing once the limit has been lowered', () => {
+  it('grants at most three operations at once after the limit was lowered to one per second', () => {
     const bucket = new LimitPart(
       { operationsPerSecond: 100, burst: 100 },
       PARTS,
--- a/packages/state/__tests__/synchronous/replicaProgress.spec.ts
+++ b/packages/state/__tests__/synchronous/replicaProgress.spec.ts
@@ -43,7 +43,7 @@
   // Load: two routes send 50 reads a second each, one needs data at most 1.5 s old, the other 2.5 s; the log
   // grows by 20 records a second and the replica lags by 9 s. The number of refused reads must not grow with
   // the load.
-  it('is sent at most three reads a second that it refuses, from however many routes', () => {
+  it('allows at most three refused reads a second, however many routes read from the server', () => {
     const progress = new ReplicaProgress()
     const logAt = (time: number) => position(1000 + Math.floor(time / 50))
     let refused = 0
--- a/packages/state/__tests__/synchronous/serverDirectory.spec.ts
+++ b/packages/state/__tests__/synchronous/serverDirectory.spec.ts
@@ -66,7 +66,7 @@
 
   // The store was unavailable and entries of live servers expired. Callers must not lose half of the
   // servers for the two seconds until the entries are back, and a server that is gone must be removed.
-  it('keeps a server whose entry expired for a grace period', () => {
+  it('keeps a server for a grace period after its entry expired', () => {
     const directory = new ServerDirectory(DRAIN)
     directory.upsert(entry(), at(0))
     expect(directory.keepOnly(new Set([B]), at(1000)).map(({ kind }) => kind)).toEqual(['unlisted'])
@@ -136,7 +136,7 @@
 
   // The old primary's log extended past what the new one took over; nothing there was acknowledged. A
   // read that waited for that position would wait until the new primary has written as much.
-  it('goes back with the log after a change of primary', () => {
+  it('uses a lower bound once a change of primary has truncated the log', () => {
     const bounds = new FreshnessBounds()
     bounds.add(at(0), logPosition(1, 50))
     bounds.add(at(800), logPosition(1, 48))
--- a/packages/state/__tests__/synchronous/sessionValues.spec.ts
+++ b/packages/state/__tests__/synchronous/sessionValues.spec.ts
@@ -60,11 +60,11 @@
 
 const commandsOf = (
   values: ConnectionValues,
-  of: SessionValues,
+  sessionValues: SessionValues,
   isInTransaction = false,
 ): string[] =>
   values
-    .commandsToAdopt(of, isInTransaction)
+    .commandsToAdopt(sessionValues, isInTransaction)
     .map(command =>
       command.kind === 'set' ? `set ${command.name} ${command.value}` : command.kind,
     )
--- a/packages/state/src/database.ts
+++ b/packages/state/src/database.ts
@@ -139,7 +139,7 @@
   connectionClosed(server: BackendServer, id: ConnectionId, now: Milliseconds): void {
     const holder = server.pool.remove(id)?.holder ?? null
     if (holder !== null) this.#connectionLost(server, holder, now)
-    // A fenced primary closes its clients' connections; its position report shows whether it was.
+    // A fenced primary closes its clients' connections; its position report shows whether it was fenced.
     server.isQuestionUrgent = true
     this.#dispatcher.dispatch(server, now)
     this.#askDue(now)
--- a/packages/state/src/deadlineEnforcer.ts
+++ b/packages/state/src/deadlineEnforcer.ts
@@ -67,11 +67,11 @@
   /** Whether a request on an unresponsive server has run past the time it may wait there. */
   #isOverdue({ startedAt, classState }: ProxyRequest, now: Milliseconds): boolean {
     const { idempotent, latencyMilliseconds } = classState.targets
-    const { failoverWaitMilliseconds: failoverPatienceMilliseconds } = this.#context.options
+    const { failoverWaitMilliseconds } = this.#context.options
     // A request that can not be repeated waits longer: a late answer still tells its outcome.
     const limit = idempotent
       ? latencyMilliseconds
-      : Math.max(latencyMilliseconds, failoverPatienceMilliseconds)
+      : Math.max(latencyMilliseconds, failoverWaitMilliseconds)
     return now >= addMilliseconds(startedAt, limit)
   }
 
--- a/packages/state/src/dispatcher.ts
+++ b/packages/state/src/dispatcher.ts
@@ -140,7 +140,7 @@
   #run(request: ProxyRequest, server: BackendServer, now: Milliseconds): void {
     const connection = server.pool.takeIdle(request)
     if (connection === null) return
-    const writes = isWrite(request)
+    const isWriteRequest = isWrite(request)
     request.phase = 'running'
     request.server = server
     request.connection = connection
@@ -150,8 +150,8 @@
       request: request.id,
       server: server.id,
       connection: connection.id,
-      readOnly: !writes,
-      holdAnswer: writes,
+      readOnly: !isWriteRequest,
+      holdAnswer: isWriteRequest,
     })
   }
 }
--- a/packages/state/src/readPath.ts
+++ b/packages/state/src/readPath.ts
@@ -156,8 +156,8 @@
    */
   #findRequiredPosition(request: ProxyRequest): LogPosition | null {
     const own = this.#sessions.requiredPosition(request.session)
-    const isBoundToConnection = !request.roams
-    if (isBoundToConnection && request.classState.targets.freshnessMilliseconds > 0) return own
+    const belongsToConnection = !request.roams
+    if (belongsToConnection && request.classState.targets.freshnessMilliseconds > 0) return own
     const bound = this.#group.tracker.boundAskedSince(request.arrivedMoment)
     if (bound === null) return request.required
     const required = laterPosition(bound, own)
--- a/packages/state/src/replicaShare.ts
+++ b/packages/state/src/replicaShare.ts
@@ -1,5 +1,6 @@
 /**
- * Keeps one class's share of replica reads at, and not above, the share that its targets permit.
+ * Keeps one class's share of replica reads at, and not above, the share that its targets permit,
+ * as long as the primary can serve the rest.
  *
  * @internal
  */
@@ -17,7 +18,8 @@
 
 /**
  * A deficit counter: every read adds the permitted share as credit, every replica read costs one
- * credit. Of N reads at most N times the share, rounded down, go to replicas.
+ * credit. Of N reads at most N times the share, rounded down, go to replicas, except for reads that
+ * replicas serve in place of an unusable or unresponsive primary.
  */
 export class ReplicaShare {
   #credit = 0
--- a/packages/state/src/requestOutcomes.ts
+++ b/packages/state/src/requestOutcomes.ts
@@ -73,8 +73,9 @@
   }
 
   /**
-   * The connection broke while the request ran. Only an idempotent request is retried, and only
-   * while the caller has received none of its answer; otherwise the outcome is unknown.
+   * The connection broke while the request ran. Only an idempotent request that continues no
+   * transaction is retried, and only while the caller has received none of its answer; otherwise
+   * the outcome is unknown.
    */
   broken(request: ProxyRequest, partlyAnswered: boolean, now: Milliseconds): void {
     this.#dispatcher.drop(request)
--- a/packages/state/src/serviceEstimate.ts
+++ b/packages/state/src/serviceEstimate.ts
@@ -6,7 +6,10 @@
 import type { Milliseconds } from '@nutmegcourse/shared'
 
 const WEIGHT_OF_NEWEST = 0.2
-/** Without new samples the estimate halves in each such period. */
+/**
+ * Without new samples the estimate halves in each such period. It is unchanged until the first one
+ * has passed.
+ */
 const HALF_LIFE_MILLISECONDS = 5000
 
 /**
--- a/packages/state/src/synchronous/directoryHistory.ts
+++ b/packages/state/src/synchronous/directoryHistory.ts
@@ -65,7 +65,7 @@
   /** The newest change of each subject after a revision; null if this host's knowledge cannot answer that. */
   changesAfter(revision: number): DatedChanges | null {
     if (this.#startRevision === null) return null
-    // The requesting host knows of a restored store that this host has yet to list.
+    // The revision is of a restored store that this host has not listed yet.
     if (eraOf(revision) > eraOf(this.#revision)) return null
     if (revision < this.#startRevision)
       return toDatedChanges([...this.#latestBySubject.values()], true)
--- a/packages/state/src/synchronous/replicaProgress.ts
+++ b/packages/state/src/synchronous/replicaProgress.ts
@@ -35,7 +35,10 @@
     this.#retryDelay = Math.min(this.#retryDelay * 2, MAX_RETRY_DELAY_MILLISECONDS)
   }
 
-  /** A read that needs the position is sent there; until it is answered, others do not follow for the retry delay. */
+  /**
+   * A read that needs the position is sent there. If it is a retry, others are held off for one retry delay, or until
+   * an answer shows that the server has caught up.
+   */
   noteReadSent(needed: LogPosition, now: Milliseconds): void {
     if (this.#missing === null || this.#holds(needed, this.#missing)) return
     this.#retryAt = milliseconds(now + this.#retryDelay)
--- a/packages/state/src/synchronous/serverDirectory.ts
+++ b/packages/state/src/synchronous/serverDirectory.ts
@@ -67,9 +67,9 @@
   }
 
   /**
-   * The same for the entry of a store that was restored from an older copy. What this host already knows of the same
-   * incarnation is newer, and the server will write it again: trusting an older entry that says that the server is not
-   * leaving, or that it leads, would send it work that fails.
+   * Like `upsert`, for an entry of a store that was restored from an older copy. What this host already knows of the
+   * same incarnation is newer, and the server will write it again: trusting an older entry that says that the server
+   * is not leaving, or that it leads, would send it work that fails.
    */
   upsertRestored(entry: BackendServerEntry, since: Milliseconds): ServerChange | null {
     const known = this.#servers.get(entry.server)
--- a/packages/state/src/synchronous/writeConfirmation.ts
+++ b/packages/state/src/synchronous/writeConfirmation.ts
@@ -43,7 +43,7 @@
   #confirmedAt: Milliseconds = milliseconds(Number.NEGATIVE_INFINITY)
   #consecutiveUnconfirmed = 0
   #lastTickAt: Milliseconds | null = null
-  /** The end of this host's last stall: how long a write waited before it says nothing about the server. */
+  /** The end of this host's last stall. Time that a write waited before it is not held against the server. */
   #stallEndedAt: Milliseconds = milliseconds(Number.NEGATIVE_INFINITY)
   #lastSentAt: Milliseconds = milliseconds(Number.NEGATIVE_INFINITY)
   /** Writes were not confirmed in time, and none has been confirmed since. */
@@ -62,9 +62,9 @@
     this.#lastTickAt = now
   }
 
-  noteEnded(write: OpenWrite, end: WriteOutcome, now: Milliseconds): void {
+  noteEnded(write: OpenWrite, outcome: WriteOutcome, now: Milliseconds): void {
     this.#open.delete(write)
-    switch (end) {
+    switch (outcome) {
       case 'confirmed':
         this.#confirmedAt = now
         this.#isInDoubt = false
@@ -93,7 +93,7 @@
 
   /**
    * After a stall, a host finds its writes aged by the duration of the stall, with their answers unread. Without this
-   * rule it took that for a primary without replicas and rolled back the following commits.
+   * rule it took that for a primary cut off from its replicas and rolled back the following commits.
    */
   #noteStall(now: Milliseconds): void {
     if (this.#lastTickAt === null || now - this.#lastTickAt <= STALL_MILLISECONDS) return
