--- a/packages/state/src/synchronous/sessionValues.ts
+++ b/packages/state/src/synchronous/sessionValues.ts
@@ -40,7 +40,10 @@
     return differing
   }
 
-  /** Returns the commands that give the connection exactly the session's values, and records them as sent. */
+  /**
+   * Returns the commands that give the connection exactly the session's values, and records them as sent. Within a
+   * transaction no reset is possible, so values that the session does not have remain.
+   */
   commandsToAdopt(session: SessionValues, isInTransaction: boolean): OwnCommand[] {
     const commands: OwnCommand[] = []
     if (!isInTransaction && this.#needsReset(session)) {
