--- a/packages/host/src/pooledLink.ts
+++ b/packages/host/src/pooledLink.ts
@@ -31,7 +31,7 @@
   | { readonly failure: 'overloaded'; readonly waitMilliseconds: number }
 
 /** The terms on which a request waits for a connection. */
-export interface AcquireTerms {
+export interface AcquireOptions {
   readonly priority: number
   readonly deadline: Milliseconds
   /** A request whose forecast wait is longer fails immediately. */
--- a/packages/host/src/serverPool.ts
+++ b/packages/host/src/serverPool.ts
@@ -27,7 +27,7 @@
   customerOf,
   canUse,
   type AcquireFailure,
-  type AcquireTerms,
+  type AcquireOptions,
   type Acquired,
   type ConnectionUse,
   type LinkWaiter,
@@ -131,7 +131,7 @@
   }
 
   /** Acquires the idle connection whose values are closest to the session's, or waits for one. */
-  acquire(session: SessionValues, terms: AcquireTerms): Promise<Acquired> {
+  acquire(session: SessionValues, terms: AcquireOptions): Promise<Acquired> {
     if (this.#isClosed) return Promise.resolve({ failure: 'withdrawn' })
     if (this.busy === 0 && this.waiting === 0) this.#busySince = this.#context.clock.now()
     const idle = this.#takeIdle(session, terms.use)
@@ -144,7 +144,7 @@
   }
 
   /** How long a request that arrives now would wait for a connection. */
-  #forecastWait(terms: AcquireTerms): number {
+  #forecastWait(terms: AcquireOptions): number {
     if (this.#opensAtOnce(terms.use)) return 0
     return Math.max(
       this.#opener.deniedMilliseconds,
@@ -172,7 +172,7 @@
     })
   }
 
-  #wait(session: SessionValues, { priority, deadline, use }: AcquireTerms): Promise<Acquired> {
+  #wait(session: SessionValues, { priority, deadline, use }: AcquireOptions): Promise<Acquired> {
     return new Promise(resolve => {
       const waiter: LinkWaiter = {
         priority,
--- a/packages/host/src/serviceState.ts
+++ b/packages/host/src/serviceState.ts
@@ -23,7 +23,7 @@
   FreshnessBounds,
   Leadership,
   SILENCE_LIMIT_MILLISECONDS,
-  holdersOfServer,
+  connectionDivisor,
   isReadyForRead,
   rankForRead,
   type ReadCandidate,
@@ -225,7 +225,7 @@
     if (server === undefined || !settings.requiresKeys || !this.isOwned) return this.holderCount
     const region = settings.regions.get(server.entry.zone)
     const nearServer = region === undefined ? 0 : (this.holderCountByRegion.get(region) ?? 0)
-    return holdersOfServer({
+    return connectionDivisor({
       nearServer,
       farFromServer: Math.max(0, this.holderCount - nearServer),
       isNear: region === settings.region,
--- a/packages/state/__tests__/differential/failureScenarios.spec.ts
+++ b/packages/state/__tests__/differential/failureScenarios.spec.ts
@@ -87,7 +87,7 @@
    * primary answers as primary, and does not see the write.
    */
   {
-    mutation: 'primaryAnswerAsBound',
+    mutation: 'primaryReportAsBound',
     title: 'a primary that was replaced without learning of it serves no stale read',
     violation: /^stale: lookup/,
     actions: [
--- a/packages/state/__tests__/differential/mutations.ts
+++ b/packages/state/__tests__/differential/mutations.ts
@@ -37,7 +37,7 @@
     position: position => logPosition(ANY_TERM, position.offset),
   },
   /** One proxy accepts the answer of a server on its side that believes itself primary in place of a majority's. */
-  primaryAnswerAsBound: {
+  primaryReportAsBound: {
     responder: (proxy, server, group) => {
       const believed = group.servers.find(
         each => each.isAlive && each.ledTerm !== null && group.canReach(proxy, each.name),
--- a/packages/state/__tests__/synchronous/customers.spec.ts
+++ b/packages/state/__tests__/synchronous/customers.spec.ts
@@ -5,7 +5,7 @@
 import {
   CustomerDirectory,
   IdleConnections,
-  holdersOfServer,
+  connectionDivisor,
   poolLimits,
   type IdleConnection,
   type ServerHolders,
@@ -150,7 +150,7 @@
   ]
   for (const [name, holders, divisor] of cases) {
     it(name, () => {
-      expect(Math.abs(holdersOfServer(holders) - divisor) < 1e-9).toEqual(true)
+      expect(Math.abs(connectionDivisor(holders) - divisor) < 1e-9).toEqual(true)
     })
   }
 
@@ -165,7 +165,7 @@
       ] as const) {
         const burst = (isNear: boolean): number => {
           const holders = { nearServer: near, farFromServer: far, isNear, isPrimary: false }
-          return poolLimits(limit, holdersOfServer(holders), true).burst
+          return poolLimits(limit, connectionDivisor(holders), true).burst
         }
         expect(near * burst(true) + far * burst(false) <= limit).toEqual(true)
       }
--- a/packages/state/src/positionTracker.ts
+++ b/packages/state/src/positionTracker.ts
@@ -42,7 +42,7 @@
 }
 
 /** A replica's log position and rate of progress. */
-export interface ReplicaProgress {
+export interface ReplicaReport {
   readonly position: LogPosition
   readonly askedAt: Milliseconds
   /** Null until measured over a long enough span. */
@@ -131,8 +131,8 @@
   }
 
   /** The replicas' progress; null while one of them has not answered yet. */
-  replicasOf(primary: BackendServerId): ReplicaProgress[] | null {
-    const replicas: ReplicaProgress[] = []
+  replicasOf(primary: BackendServerId): ReplicaReport[] | null {
+    const replicas: ReplicaReport[] = []
     for (const { id, report, askedAt, progress } of this.#servers) {
       if (id === primary) continue
       if (report === null) return null
--- a/packages/state/src/synchronous/poolPolicy.ts
+++ b/packages/state/src/synchronous/poolPolicy.ts
@@ -84,7 +84,7 @@
  * The number by which the connections are divided to get this host's part, with near and far holders of a replica
  * weighted differently. The connections of a primary are divided evenly, because all holders use it alike.
  */
-export function holdersOfServer(holders: ServerHolders): number {
+export function connectionDivisor(holders: ServerHolders): number {
   const { nearServer, farFromServer, isNear, isPrimary } = holders
   if (isPrimary || nearServer === 0) return nearServer + farFromServer
   const weightedHolders = nearServer + farFromServer * FAR_HOLDER_WEIGHT
