--- a/packages/protocol/__tests__/wire.spec.ts
+++ b/packages/protocol/__tests__/wire.spec.ts
@@ -23,8 +23,8 @@
 const SEED = 3
 const LIMIT = 4096
 
-/** Splits bytes at the given places, modulo their length. */
-function cutAt(bytes: Buffer, places: readonly number[]): Buffer[] {
+/** Splits bytes at the given offsets, which are reduced to the length of the bytes. */
+function splitAt(bytes: Buffer, places: readonly number[]): Buffer[] {
   const cuts = [...new Set(places.map(place => place % (bytes.length + 1)))].sort((a, b) => a - b)
   return [0, ...cuts].map((start, index) => Buffer.from(bytes.subarray(start, cuts[index])))
 }
@@ -39,7 +39,7 @@
   })
 
 describe('frames', () => {
-  it('of a caller are read whole wherever the bytes are split', () => {
+  it('CallerFrames delivers whole frames wherever the bytes are split', () => {
     const texts = fc.array(fc.string({ maxLength: 200 }), { maxLength: 8 })
     fc.assert(
       fc.property(texts, fc.array(fc.nat()), (queries, places) => {
@@ -48,7 +48,7 @@
         reader.expectTypedFrames()
         const seen: Buffer[] = []
         const sink = { wantsMore: true, frame: (bytes: Buffer) => seen.push(bytes), mistake: fail }
-        for (const chunk of cutAt(Buffer.concat(frames), places)) reader.push(chunk, sink)
+        for (const chunk of splitAt(Buffer.concat(frames), places)) reader.push(chunk, sink)
         expect(seen.map(String)).toEqual(frames.map(String))
         expect(reader.bufferedBytes).toEqual(0)
       }),
@@ -56,7 +56,7 @@
     )
   })
 
-  it('of a caller are buffered while the sink accepts none', () => {
+  it('CallerFrames buffers frames while the sink accepts none', () => {
     const reader = new CallerFrames(LIMIT)
     reader.expectTypedFrames()
     const seen: Buffer[] = []
@@ -73,7 +73,7 @@
     expect(seen.map(String)).toEqual([queryMessage('a'), queryMessage('b')].map(String))
   })
 
-  it('of a server are forwarded in order and without loss, and inspected ones are delivered whole', () => {
+  it('ServerFrames forwards frames in order and without loss, and delivers inspected ones whole', () => {
     fc.assert(
       fc.property(fc.array(serverFrame), fc.array(fc.nat()), (frames, places) => {
         const reader = new ServerFrames()
@@ -91,17 +91,17 @@
             keep(bytes, start, end)
           },
         }
-        for (const chunk of cutAt(Buffer.concat(frames), places)) {
+        for (const chunk of splitAt(Buffer.concat(frames), places)) {
           expect(reader.push(chunk, sink)).toEqual(true)
           // The reader may not keep a reference: the socket reuses the chunk after the call.
           chunk.fill(0)
         }
         expect(Buffer.concat(seen).equals(Buffer.concat(frames))).toEqual(true)
-        const decisive = frames.filter(frame =>
+        const inspected = frames.filter(frame =>
           'CZES1'.includes(String.fromCharCode(frame[0] ?? 0)),
         )
         expect(whole.map(frame => frame.toString('hex'))).toEqual(
-          decisive.map(frame => frame.toString('hex')),
+          inspected.map(frame => frame.toString('hex')),
         )
       }),
       { seed: SEED },
@@ -129,7 +129,7 @@
     { text: "/*class='a'*/ SELECT 1 /* prose */", class: 'a', key: null },
   ]
   for (const { text, class: name, key } of cases) {
-    it(JSON.stringify(text), () => {
+    it(`reads the comment of ${JSON.stringify(text)}`, () => {
       const bytes = Buffer.from(text)
       const found = readStatementComment(bytes, 0, bytes.length)
       expect(found).toEqual({ class: name, idempotencyKey: key })
@@ -152,13 +152,13 @@
     { text: '-c =x nonsense', expected: '' },
   ]
   for (const { text, expected } of options) {
-    it(`options ${text}`, () => {
+    it(`reads the options '${text}'`, () => {
       const found = [...readStartupOptions(text)].map(([name, value]) => `${name}=${value}`)
       expect(found.join(' ')).toEqual(expected)
     })
   }
 
-  it('packets are read back as they were written', () => {
+  it('reads packets back as they were written', () => {
     const packet = readStartupPacket(startupMessage({ user: 'u', database: 'd' }))
     expect(packet.kind === 'startup' && [...packet.parameters]).toEqual([
       ['user', 'u'],
@@ -171,7 +171,7 @@
     })
   })
 
-  it('packets of arbitrary bytes are read or refused without an exception', () => {
+  it('reads or refuses packets of arbitrary bytes without an exception', () => {
     fc.assert(
       fc.property(fc.uint8Array({ minLength: 4, maxLength: 64 }), bytes => {
         readStartupPacket(Buffer.from(bytes))
@@ -182,7 +182,7 @@
 })
 
 describe('messages of the proxy', () => {
-  it('report a refusal by reason, SQLSTATE and time after which to retry', () => {
+  it('writes a refusal with its reason, SQLSTATE and time after which to retry', () => {
     const bytes = refusalResponse({ reason: 'queue_full', retryAfterMilliseconds: 1.2 })
     expect(readServerError(bytes, 0, bytes.length)).toEqual({
       severity: 'ERROR',
@@ -192,12 +192,12 @@
     expect(bytes.toString('latin1').includes('Hretry-after-milliseconds=2\0')).toEqual(true)
   })
 
-  it('never contain a zero byte inside a text', () => {
+  it('writes no zero byte inside a text', () => {
     const bytes = refusalResponse({ reason: 'unknown_class', detail: 'a\0Cforged' })
     expect(readServerError(bytes, 0, bytes.length).sqlState).toEqual('42704')
   })
 
-  it('use the tags and status letters of the protocol', () => {
+  it('writes the tags and status letters of the protocol', () => {
     const tag = commandComplete('INSERT 0 1')
     expect(readCommandTag(tag, 0, tag.length)).toEqual('INSERT 0 1')
     expect(readyForQuery(TransactionStatus.failed).toString('latin1')).toEqual('Z\0\0\0\x05E')
--- a/packages/protocol/src/backendServer.ts
+++ b/packages/protocol/src/backendServer.ts
@@ -23,9 +23,9 @@
 /** Succeeds only on a server fenced at exactly this term; writes the term's first log record. */
 export const promoteStatement = (promoted: Term): string =>
   `SELECT role, term, log_offset, fenced_term FROM platform_promote(${promoted})`
-/** Makes a server replicate from the primary of `led`, discarding what that primary lacks. */
-export const followStatement = (led: Term, address: string, port: number): string =>
-  `SELECT role, term, log_offset, fenced_term FROM platform_follow(${led}, '${address}', ${port})`
+/** Makes a server replicate from the primary of `leaderTerm`, discarding what that primary lacks. */
+export const followStatement = (leaderTerm: Term, address: string, port: number): string =>
+  `SELECT role, term, log_offset, fenced_term FROM platform_follow(${leaderTerm}, '${address}', ${port})`
 
 /** Reads one row as text columns; null when a column is missing or not a number. */
 export function readPositionReport(row: readonly (string | null)[]): PositionReport | null {
--- a/packages/protocol/src/gossip.ts
+++ b/packages/protocol/src/gossip.ts
@@ -72,7 +72,10 @@
   }
 }
 
-/** Within one incarnation the end wins: only the host itself can refute it, with a newer incarnation. */
+/**
+ * Within one incarnation `failed` supersedes `alive`, and `left` supersedes both: only the host itself can refute
+ * them, with a newer incarnation.
+ */
 function statusOrder(status: MemberStatus): number {
   switch (status) {
     case 'alive':
--- a/packages/protocol/src/groupRecordSchema.ts
+++ b/packages/protocol/src/groupRecordSchema.ts
@@ -1,4 +1,4 @@
-/** Validates group records from the store or another agent. Unknown fields, as of newer releases, are kept. */
+/** Validates group records from the store or another agent. Unknown fields, which newer releases may add, are kept. */
 import { z } from 'zod'
 import {
   attemptId,
--- a/packages/protocol/src/host/directory.ts
+++ b/packages/protocol/src/host/directory.ts
@@ -23,7 +23,7 @@
   readonly guarantee: ReadGuarantee
   readonly statementTimeoutMilliseconds: number
   readonly latencyTargetMilliseconds: number
-  /** Waiting statements of a route with a lower value are served first. */
+  /** Waiting statements are served in ascending order of this value: 0 is served first. */
   readonly priority: number
   /** Serves callers whatever key they present. */
   readonly isPublic: boolean
--- a/packages/protocol/src/host/hostSettings.ts
+++ b/packages/protocol/src/host/hostSettings.ts
@@ -33,7 +33,7 @@
   readonly readiness: HostAddress
   /** Where it runs statements for other entry hosts; null when the settings leave no port for it. */
   readonly relay: HostAddress | null
-  /** The share of a processor that this host may use. */
+  /** Processor capacity that this host may use, in the platform's standard cores; may exceed 1. */
   readonly processorShare: number
   /** Where counters are served; null when the settings leave no port for it. */
   readonly metrics: HostAddress | null
@@ -56,6 +56,6 @@
   readonly revocation: RevocationRule
   /** Time from the stop signal until the process is killed. */
   readonly graceMilliseconds: number
-  /** The whole fleet starts for the first time: there are no callers yet, and no host is listed. */
+  /** Whether the whole fleet starts for the first time, when there are no callers yet and no host is listed. */
   readonly isFirstStart: boolean
 }
--- a/packages/protocol/src/snapshot.ts
+++ b/packages/protocol/src/snapshot.ts
@@ -1,6 +1,7 @@
 /**
  * What an agent sends to its proxies (JSON-RPC over loopback TCP), and what they report to it.
- * A proxy keeps using its last snapshot when its agent is gone; a stale one costs speed, never safety.
+ * A proxy keeps using its last snapshot when its agent is gone; a stale one may make requests slower, but never
+ * inconsistent.
  */
 import type { BackendServerId, DatabaseId, EntryHostId } from '@nutmegcourse/shared'
 import type { GroupRecord } from './databaseGroup.js'
@@ -24,7 +25,7 @@
   /** False while this host cannot confirm that `targets` is the newest version. */
   readonly targetsConfirmed: boolean
   readonly groups: readonly GroupSnapshot[]
-  /** Entry hosts that share each backend server's connections. */
+  /** The number of entry hosts that share each backend server's connections. */
   readonly entryHostCount: number
 }
 
@@ -34,7 +35,10 @@
   /** Lets a writer whose answer was lost recognise its own change. */
   readonly changeId: string
   readonly changedBy: string
-  /** Ids of the changes before this one, newest last, for a writer whose answer was lost and then overtaken. */
+  /**
+   * Ids of the changes before this one, newest last. A writer whose answer was lost recognises its own change here
+   * when later changes have followed it.
+   */
   readonly recentChangeIds: readonly string[]
   readonly targets: Targets
 }
--- a/packages/protocol/src/wire/callerFrames.ts
+++ b/packages/protocol/src/wire/callerFrames.ts
@@ -5,7 +5,7 @@
 import { LENGTH_BYTES } from './messageTypes.js'
 
 export type FrameMistake =
-  /** A length too small to hold itself. */
+  /** The announced length is smaller than the length field, which counts itself. */
   | { readonly kind: 'malformed'; readonly detail: string }
   | { readonly kind: 'tooLarge'; readonly announcedBytes: number }
 
--- a/packages/protocol/src/wire/statementComment.ts
+++ b/packages/protocol/src/wire/statementComment.ts
@@ -1,7 +1,7 @@
 /**
  * Reads what a caller declares about one statement in a sqlcommenter comment, such as
  * `SELECT 1 /*class='score_entry',idempotency_key='a1'*\/`.
- * Only a comment at the start or end of the text is read: no SQL is parsed, so comment-like text
+ * SQL is not parsed. Only a comment at the start or end of the text is read, so that comment-like text
  * inside a literal is never taken for one.
  */
 
