--- a/packages/shared/src/ids.ts
+++ b/packages/shared/src/ids.ts
@@ -1,11 +1,11 @@
-/** Branded identifiers. Each comment states whether its values come from settings, the platform or a caller. */
+/** Branded identifiers, so that the compiler tells them apart. */
 import type { Brand } from './brand.js'
 
 /** An entry host: a machine that runs one agent and one or more proxies. From settings. */
 export type EntryHostId = Brand<string, 'EntryHostId'>
 /** An availability zone. From settings and the platform's host list. */
 export type AvailabilityZoneId = Brand<string, 'AvailabilityZoneId'>
-/** A region: the zones on one side of the slow link. From settings and the host list. */
+/** A region: a group of zones. Links between regions are slow. From settings and the host list. */
 export type RegionId = Brand<string, 'RegionId'>
 /** A database: one group of backend servers that replicate each other. */
 export type DatabaseId = Brand<string, 'DatabaseId'>
@@ -17,7 +17,7 @@
 export type SessionId = Brand<string, 'SessionId'>
 /** Identifies one request in every process and log line. */
 export type RequestId = Brand<string, 'RequestId'>
-/** Marks one attempt at a change in the store, so that reading it back settles a lost answer. */
+/** Marks one attempt at a change in the store, so that a writer whose answer was lost can read whether it was made. */
 export type AttemptId = Brand<string, 'AttemptId'>
 /** A host's incarnation: grows with each restart, so that reports of an older one never win. */
 export type Incarnation = Brand<number, 'Incarnation'>
--- a/packages/shared/src/position.ts
+++ b/packages/shared/src/position.ts
@@ -1,7 +1,10 @@
 /** Log positions: which writes a backend server holds. */
 import type { Brand } from './brand.js'
 
-/** Numbers the period during which one primary leads. Only a promotion increases it. */
+/**
+ * Numbers the period during which one primary leads. The log enters a term only with a promotion; an attempt to
+ * change the primary that fails may leave its term unused.
+ */
 export type Term = Brand<number, 'Term'>
 /** The number of log records up to and including one record. */
 export type LogOffset = Brand<number, 'LogOffset'>
@@ -38,6 +41,6 @@
 export const laterPosition = (left: LogPosition, right: LogPosition): LogPosition =>
   isAtOrPast(left, right) ? left : right
 
-/** `term/offset`, as the backend servers print it. */
+/** `term/offset`, for logs and explanations. */
 export const formatPosition = (position: LogPosition): string =>
   `${position.term}/${position.offset}`
--- a/packages/shared/src/reasons.ts
+++ b/packages/shared/src/reasons.ts
@@ -1,7 +1,8 @@
 /**
  * The table of all reasons for which a request is refused.
- * Each has a stable code, an SQLSTATE, a counter of the same name, and a kind that callers rely on:
- * `notRun` means that no part of the request ran; `outcomeUnknown` means that it may have.
+ * Each has a stable code, an SQLSTATE, a counter `refusal.<code>`, and a kind that callers rely on:
+ * `notRun` means that no part of the request ran, or all of it was rolled back; `outcomeUnknown` means that it
+ * may have run; `callerMistake` means that a retry gives the same error.
  */
 
 export type ReasonKind = 'notRun' | 'outcomeUnknown' | 'callerMistake'
@@ -118,6 +119,6 @@
   readonly reason: Reason
   /** Additional information for the caller, beyond the table's message. */
   readonly detail?: string
-  /** Time after which to retry, in milliseconds; absent when a retry cannot help. */
+  /** Time after which to retry, in milliseconds; absent when no delay is suggested. */
   readonly retryAfterMilliseconds?: number
 }
