--- a/packages/protocol/__tests__/wire.spec.ts
+++ b/packages/protocol/__tests__/wire.spec.ts
@@ -129,7 +129,7 @@
     { text: "/*class='a'*/ SELECT 1 /* prose */", class: 'a', key: null },
   ]
   for (const { text, class: name, key } of cases) {
-    it(`reads the comment of ${JSON.stringify(text)}`, () => {
+    it(JSON.stringify(text), () => {
       const bytes = Buffer.from(text)
       const found = readStatementComment(bytes, 0, bytes.length)
       expect(found).toEqual({ class: name, idempotencyKey: key })
