--- a/packages/protocol/src/gossip.ts
+++ b/packages/protocol/src/gossip.ts
@@ -12,7 +12,10 @@
 export type GossipItem =
   | { readonly kind: 'targets'; readonly document: VersionedTargets }
   | { readonly kind: 'drains'; readonly drains: DrainList }
-  /** `revision` is that of the record in the store; 0 while the store does not hold it. */
+  /**
+   * `revision`: the newest that the announcing host knew of the stored record, 0 for none. The store may not hold
+   * `record` itself yet: a change of primary is announced before it is stored.
+   */
   | { readonly kind: 'group'; readonly record: GroupRecord; readonly revision: number }
   | { readonly kind: 'member'; readonly member: Member }
 
--- a/packages/protocol/src/platform.ts
+++ b/packages/protocol/src/platform.ts
@@ -99,7 +99,7 @@
 
 /** `hosts.list` */
 export interface HostListParams {
-  /** Requests the addresses at which hosts of this zone reach the listed hosts; absent: the platform's own. */
+  /** Requests the addresses at which hosts of this zone reach the listed hosts; absent: the hosts' own addresses. */
   readonly zone?: AvailabilityZoneId
   /** The version that the caller holds; a platform that supports this may answer `unchanged` while it is current. */
   readonly knownVersion?: number
