--- a/packages/protocol/src/gossip.ts
+++ b/packages/protocol/src/gossip.ts
@@ -12,7 +12,10 @@
 export type GossipItem =
   | { readonly kind: 'targets'; readonly document: VersionedTargets }
   | { readonly kind: 'drains'; readonly drains: DrainList }
-  /** `revision` is that of the record in the store; 0 while the store does not hold it. */
+  /**
+   * `revision`: the newest that the announcing host knew of the stored record, 0 for none. The store may not hold
+   * `record` itself yet: a change of primary is announced before it is stored.
+   */
   | { readonly kind: 'group'; readonly record: GroupRecord; readonly revision: number }
   | { readonly kind: 'member'; readonly member: Member }
 
@@ -72,7 +75,10 @@
   }
 }
 
-/** Within one incarnation the end wins: only the host itself can refute it, with a newer incarnation. */
+/**
+ * Within one incarnation `failed` supersedes `alive`, and `left` supersedes both: only the host itself can refute
+ * them, with a newer incarnation.
+ */
 function statusOrder(status: MemberStatus): number {
   switch (status) {
     case 'alive':
