--- a/packages/proxy/src/activeRequest.ts
+++ b/packages/proxy/src/activeRequest.ts
@@ -44,7 +44,7 @@
 export const answerTargetOf = (active: ActiveRequest): AnswerTarget =>
   active.request.purpose === 'statement' ? active.caller : DISCARDING_TARGET
 
-/** The transaction status after an error: a lost transaction stays failed until its ROLLBACK. */
+/** The transaction status after an error: a lost transaction stays failed until its COMMIT or ROLLBACK. */
 export function statusAfterRefusal(active: ActiveRequest): TransactionStatusByte {
   if (!active.insideTransaction || active.outcome !== null) return TransactionStatus.idle
   const text = active.request.singleStatementText
--- a/packages/proxy/src/agentLink.ts
+++ b/packages/proxy/src/agentLink.ts
@@ -1,6 +1,6 @@
 /**
  * The proxy's connection to the agent of its entry host: receives snapshots, sends health reports and
- * answers operators' queries. Reconnects indefinitely; until then the last snapshot stays in use.
+ * answers operators' queries. Reconnects indefinitely; meanwhile the last snapshot stays in use.
  */
 import type { ProxyReport, RoutingSnapshot } from '@nutmegcourse/protocol'
 import type { BackendServerId, RandomSource } from '@nutmegcourse/shared'
--- a/packages/proxy/src/backendConnection.ts
+++ b/packages/proxy/src/backendConnection.ts
@@ -54,7 +54,7 @@
 const KEEP_ALIVE_MILLISECONDS = 10_000
 const APPLICATION_NAME = 'nutmegcourse-proxy'
 const POSITION_QUERY = queryMessage(POSITION_STATEMENT)
-/** Errors that show that the server's prepared statements differ from the proxy's record of them. */
+/** Errors after which the server's prepared statements may differ from the proxy's record of them. */
 const STATEMENT_MISMATCH_STATES: ReadonlySet<string> = new Set(['26000', '42P05', '0A000'])
 
 type State = 'opening' | 'open' | 'closed'
@@ -166,8 +166,8 @@
     const { key } = this.#startup
     if (this.#run === null || key === null) return
     this.#cancelsInFlight += 1
-    void sendCancel(this.server, key, this.#options.connectTimeoutMilliseconds).then(isAccepted => {
-      this.#handleCancelDone(isAccepted)
+    void sendCancel(this.server, key, this.#options.connectTimeoutMilliseconds).then(isSettled => {
+      this.#handleCancelDone(isSettled)
     })
   }
 
@@ -321,9 +321,9 @@
     this.#events.ended(this, run, outcome)
   }
 
-  #handleCancelDone(isAccepted: boolean): void {
+  #handleCancelDone(isSettled: boolean): void {
     this.#cancelsInFlight -= 1
-    if (!isAccepted) {
+    if (!isSettled) {
       this.#closeOnError('cancel request did not reach the backend server')
       return
     }
--- a/packages/proxy/src/backendRun.ts
+++ b/packages/proxy/src/backendRun.ts
@@ -20,16 +20,16 @@
 import type { AnswerSlots, ParseSlot } from './requestSteps.js'
 
 export interface RunOutcome {
-  /** After the caller's request. */
+  /** Transaction status after the caller's request. */
   readonly status: TransactionStatusByte
   readonly position: LogPosition | null
   /** The server answered with an error, and no transaction was committed before it. */
   readonly failed: boolean
-  /** Commands that succeeded. */
+  /** Number of commands that succeeded. */
   readonly commands: number
   /** Distinct tags of the commands that change session state. */
   readonly sessionTags: readonly SessionTag[]
-  /** SQLSTATE of the last error of the answer. */
+  /** SQLSTATE of the last error of the answer; null if it has none. */
   readonly sqlState: string | null
   /** Prepared statements whose Parse was not answered with success. */
   readonly failedParses: readonly ParseSlot[]
@@ -165,7 +165,7 @@
     }
   }
 
-  /** Sends the pending bytes to the caller at the end of a received chunk. */
+  /** Passes the pending frames to the answer buffer, at the latest at the end of a received chunk. */
   flush(): void {
     const bytes = this.#pending
     if (bytes === null) return
--- a/packages/proxy/src/callerConnection.ts
+++ b/packages/proxy/src/callerConnection.ts
@@ -348,7 +348,10 @@
     )
   }
 
-  /** Starts the request at the head unless the caller is congested. */
+  /**
+   * Starts the request at the head unless the caller is congested. Closes the connection once no request
+   * is left, if the caller has sent Terminate or the proxy is draining.
+   */
   #startRequests(): void {
     if (this.#isStartingRequests) return
     this.#isStartingRequests = true
--- a/packages/proxy/src/callerRequest.ts
+++ b/packages/proxy/src/callerRequest.ts
@@ -70,7 +70,10 @@
     this.complete = true
   }
 
-  /** The text of the request's only statement; null if it has none or several. */
+  /**
+   * The whole text of a simple query, which may contain several statements; for an extended request the
+   * text of its only statement, or null if it has none or several.
+   */
   get singleStatementText(): string | null {
     if (this.shape.kind === 'simple') {
       const { frame } = this.shape
--- a/packages/proxy/src/callerSettings.ts
+++ b/packages/proxy/src/callerSettings.ts
@@ -3,7 +3,7 @@
  * are recorded and run again on each connection that its requests use.
  */
 
-/** SET statements recorded per caller. More are not regarded as settings, and the caller gets an error. */
+/** SET statements recorded per caller. A caller that exceeds the limit is disconnected with an error. */
 export const SETTINGS_LIMIT = 64
 const SETTINGS_LIMIT_CHARACTERS = 16 * 1024
 
--- a/packages/proxy/src/callerStartup.ts
+++ b/packages/proxy/src/callerStartup.ts
@@ -32,7 +32,7 @@
 
 const CLASS_OPTION = 'nutmegcourse.class'
 const SESSION_OPTION = 'nutmegcourse.session'
-/** Characters. Session names are part of logs and messages. */
+/** In characters. Limited because session names are part of logs and messages. */
 const SESSION_NAME_LIMIT = 200
 const NOT_REPLICATION = new Set(['', 'false', 'off', 'no', '0'])
 
--- a/packages/proxy/src/cancelSender.ts
+++ b/packages/proxy/src/cancelSender.ts
@@ -18,16 +18,16 @@
 ): Promise<boolean> {
   return new Promise(resolve => {
     const socket = connect({ host: server.address, port: server.port })
-    let isAccepted = false
+    let closedByServer = false
     socket.setTimeout(timeoutMilliseconds, () => socket.destroy())
     socket.on('connect', () => socket.write(cancelRequest(key.processId, key.secret)))
     socket.on('error', () => undefined)
     socket.on('end', () => {
-      isAccepted = true
+      closedByServer = true
     })
     socket.resume()
     socket.once('close', () => {
-      resolve(isAccepted || socket.bytesWritten === 0)
+      resolve(closedByServer || socket.bytesWritten === 0)
     })
   })
 }
--- a/packages/proxy/src/connectionSetup.ts
+++ b/packages/proxy/src/connectionSetup.ts
@@ -36,7 +36,7 @@
     this.#settingsKey = DIRTY_KEY
   }
 
-  /** Records that the connection has the caller's settings, changed by the request that just ended. */
+  /** Records that the connection has the caller's settings, which may have changed its transaction mode. */
   recordSettings(settings: CallerSettings): void {
     this.#settingsKey = settings.key
     this.#mode = 'unknown'
--- a/packages/proxy/src/positionQueries.ts
+++ b/packages/proxy/src/positionQueries.ts
@@ -29,7 +29,7 @@
   readonly #backoff: Backoff
   #connection: ControlConnection | null = null
   #outstanding = false
-  /** Requested while a query was outstanding, whose answer may predate the request. */
+  /** Whether a further query was requested during the outstanding one, whose answer may be too old for it. */
   #queryAgain = false
   #timer: NodeJS.Timeout | null = null
   #closed = false
--- a/packages/proxy/src/requestManager.ts
+++ b/packages/proxy/src/requestManager.ts
@@ -75,6 +75,7 @@
   start(caller: CallerConnection, request: CallerRequest): void {
     const transaction = this.#transactions.get(caller)
     if (request.complete && request.shape.kind === 'extended' && request.steps.length === 1) {
+      // A Sync without messages before it.
       caller.finish(request, caller.status, 'sendReady')
       return
     }
--- a/packages/proxy/src/requestQueue.ts
+++ b/packages/proxy/src/requestQueue.ts
@@ -69,7 +69,7 @@
 
   readQuery(frame: Buffer): Refusal | null {
     if (this.#incomplete !== null) return malformed('a Query inside extended messages without Sync')
-    // The text is not decoded, since only a leading or trailing comment is ever read.
+    // The text is not decoded here, since routing reads at most its leading or trailing comment.
     if (frame.indexOf(0, TEXT_START) !== frame.length - 1) {
       return malformed('a Query without an end')
     }
@@ -111,7 +111,7 @@
 
 const malformed = (detail: string): Refusal => ({ reason: 'malformed', detail })
 
-/** Whether a message belongs to the extended protocol and is answered up to a Sync. */
+/** Whether a message is part of an extended-protocol request. Excludes the Flush and Sync that follow it. */
 export const isExtended = (type: number): boolean => EXTENDED_MESSAGES.has(type)
 
 const EXTENDED_MESSAGES: ReadonlySet<number> = new Set([
--- a/packages/proxy/src/statementCatalog.ts
+++ b/packages/proxy/src/statementCatalog.ts
@@ -42,7 +42,7 @@
     return statement
   }
 
-  /** Removes a text without remaining references. Its name is never reused. */
+  /** Releases one reference. Without references the text is removed, but its name is never reused. */
   release(statement: PreparedStatement): void {
     const key = statement.body.toString('latin1')
     const entry = this.#entries.get(key)
--- a/packages/transport/src/controlConnection.ts
+++ b/packages/transport/src/controlConnection.ts
@@ -130,9 +130,10 @@
 const CONNECT_TIMEOUT_MESSAGE = /timeout/i
 
 /**
- * Treats every attempt that ended without a message from the server as refused, since no statement
- * was sent yet: behind a relay or a load balancer, a connection to a dead process is accepted and
- * then closed instead of refused. An error sent by the server itself proves that it is alive.
+ * Except for time-outs, treats every attempt that ended without a message from the server as refused,
+ * since no statement was sent yet: behind a relay or a load balancer, a connection to a dead process
+ * is accepted and then closed instead of refused. An error sent by the server itself proves that it
+ * is alive.
  */
 function describeOpenError(error: unknown): TransportError {
   const detail = error instanceof Error ? error.message : String(error)
--- a/packages/transport/src/transportError.ts
+++ b/packages/transport/src/transportError.ts
@@ -1,8 +1,8 @@
 /** Errors of the transport layer. Higher layers convert these to their own error types. */
 export type TransportError =
-  /** Nothing listens at the address; no byte was sent. */
+  /** The connection could not be opened, or was closed during its startup; no request was sent. */
   | { readonly kind: 'connectRefused'; readonly detail: string }
-  /** The connection attempt timed out; no byte was sent. */
+  /** The connection attempt timed out; no request was sent. */
   | { readonly kind: 'connectTimeout'; readonly detail: string }
   /** An established connection broke; a request on it may have arrived. */
   | { readonly kind: 'connectionLost'; readonly detail: string }
