--- a/packages/proxy/__tests__/backPressure.spec.ts
+++ b/packages/proxy/__tests__/backPressure.spec.ts
@@ -8,10 +8,10 @@
 const ROWS = 20_000
 const ROW_BYTES = 4000
 
-describe('a caller under back pressure', () => {
+describe('back pressure', () => {
   // A client requests 80 MB and stops reading. If the proxy buffered the whole answer, a few such
   // clients would exhaust the memory of the entry host and disconnect all its callers.
-  it('that does not read delays only its own backend connection, and gets every row in the end', () =>
+  it('delays only the backend connection of a caller that does not read, which gets every row in the end', () =>
     withProxy(2, async fixture => {
       const slow = await RawCaller.connect(fixture.port)
       const other = await fixture.connect()
@@ -28,7 +28,7 @@
       slow.disconnect()
     }))
 
-  it('that pipelines 2000 queries gets every answer in order', () =>
+  it('keeps the answers to 2000 pipelined queries complete and in order', () =>
     withProxy(1, async fixture => {
       const caller = await RawCaller.connect(fixture.port)
       const queries = Array.from({ length: 2000 }, (_, index) => query(`SELECT ${index}`))
--- a/packages/proxy/__tests__/brokenAnswers.spec.ts
+++ b/packages/proxy/__tests__/brokenAnswers.spec.ts
@@ -74,7 +74,7 @@
     }))
 })
 
-describe('a backend server that breaks', () => {
+describe('the loss of a backend connection', () => {
   const cases = [
     { what: 'in the middle of a row', sql: 'break_now', partlyAnswered: true, outcome: 'closed' },
     { what: 'before its answer', sql: 'break_silently', partlyAnswered: false, outcome: 'EZ' },
@@ -82,7 +82,7 @@
   for (const { what, sql, partlyAnswered, outcome } of cases) {
     // A backend server fails while a statement runs. A partial answer must not be completed by other
     // bytes: the caller gets an error, or its connection is closed if a row is incomplete.
-    it(`${what} causes an error or a closed connection for this caller only`, () =>
+    it(`affects only this caller, with an error or a closed connection: ${what}`, () =>
       withProxy(1, async fixture => {
         const caller = await RawCaller.connect(fixture.port)
         caller.send(query(sql))
@@ -120,7 +120,7 @@
 
   // The backend server fails between two statements of a transaction, and the client sends the next one.
   // If that ran on another connection, part of the transaction would be committed.
-  it('that was lost answers as a failed transaction until it is rolled back', () =>
+  it('is answered as failed after its connection is lost, until it is rolled back', () =>
     withProxy(1, async fixture => {
       const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       const steps: readonly (readonly [string, string, string])[] = [
@@ -141,7 +141,7 @@
       caller.disconnect()
     }))
 
-  it('that was lost answers its COMMIT with an error', () =>
+  it('gets an error for its COMMIT after its connection is lost', () =>
     withProxy(1, async fixture => {
       const caller = await RawCaller.connect(fixture.port, WRITE_CLASS)
       caller.send(query('BEGIN'), query('INSERT a'))
--- a/packages/proxy/__tests__/callerIsolation.spec.ts
+++ b/packages/proxy/__tests__/callerIsolation.spec.ts
@@ -64,7 +64,7 @@
       expect(valuesOf(await client.query('SELECT 1'))).toEqual(['SELECT 1'])
     }))
 
-  it('with the wrong secret is ignored', () =>
+  it('is ignored if its secret is wrong', () =>
     withProxy(1, async fixture => {
       const client = await fixture.connect()
       const sleeping = client.query('SELECT pg_sleep(100)')
@@ -73,7 +73,7 @@
       expect((await sleeping).rows.length).toEqual(1)
     }))
 
-  it('for a request that waits for a connection cancels it immediately', () =>
+  it('immediately cancels a request that waits for a connection', () =>
     withProxy(1, async fixture => {
       const [first, second] = [await fixture.connect(), await fixture.connect()]
       const running = first.query('SELECT pg_sleep(100)')
@@ -90,7 +90,7 @@
 
   // A statement ends by itself while its cancel request is on the way. The backend server processes the
   // cancel when the connection may already serve another caller, and would cancel that caller's statement.
-  it('that arrives late never cancels a statement of the next caller', () =>
+  it('never cancels a statement of the next caller, even if it arrives late', () =>
     withProxy(1, async fixture => {
       fixture.backend.cancelDelayMilliseconds = 60
       const [first, second] = [await fixture.connect(), await fixture.connect()]
--- a/packages/proxy/__tests__/gracefulShutdown.spec.ts
+++ b/packages/proxy/__tests__/gracefulShutdown.spec.ts
@@ -71,7 +71,7 @@
 
   // Callers write continuously while their entry host shuts down. A write that is refused as not run but
   // was applied would be applied a second time by the caller's retry.
-  it('under load acknowledges each write that was applied, and refuses every other as not run', () =>
+  it('acknowledges each applied write when stopped under load, and refuses every other as not run', () =>
     withProxyProcess(DRAIN_TIMEOUT_MILLISECONDS, async proxy => {
       const acknowledged = new Set<string>()
       const refused = new Map<string, string>()
--- a/packages/proxy/__tests__/hostileInput.spec.ts
+++ b/packages/proxy/__tests__/hostileInput.spec.ts
@@ -53,7 +53,7 @@
     },
   ]
   for (const { what, bytes, code } of invalidMessages) {
-    it(`${what} closes that caller's connection with ${code}`, () =>
+    it(`closes that caller's connection with ${code}: ${what}`, () =>
       withProxy(1, async fixture => {
         const other = await fixture.connect()
         const caller = await RawCaller.connect(fixture.port)
@@ -85,7 +85,7 @@
     },
   ]
   for (const { what, bytes, code } of invalidStartups) {
-    it(`${what} at startup is refused with ${code}`, () =>
+    it(`is refused at startup with ${code}: ${what}`, () =>
       withProxy(1, async fixture => {
         const caller = new RawCaller(fixture.port)
         caller.send(bytes)
@@ -94,7 +94,7 @@
       }))
   }
 
-  it('generated at random and truncated anywhere never affects another caller', () =>
+  it('never affects another caller, even if generated at random and truncated anywhere', () =>
     withProxy(3, async fixture => {
       const other = await fixture.connect()
       const frames = fc.oneof(
--- a/packages/proxy/__tests__/pipelining.spec.ts
+++ b/packages/proxy/__tests__/pipelining.spec.ts
@@ -52,7 +52,7 @@
   ]
   for (const { what, send, ready, types } of batches) {
     for (const className of ['lookup', WRITE_CLASS]) {
-      it(`answer ${what} correctly twice on one pooled connection, class ${className}`, () =>
+      it(`are answered correctly twice on one pooled connection: ${what}, class ${className}`, () =>
         withProxy(1, async fixture => {
           const caller = await RawCaller.connect(fixture.port, className)
           caller.send(...send)
--- a/packages/proxy/__tests__/queries.spec.ts
+++ b/packages/proxy/__tests__/queries.spec.ts
@@ -108,7 +108,7 @@
       expect(arrived?.class as string | undefined).toEqual(WRITE_CLASS)
     }))
 
-  it('beyond the caller limit is refused, and the other callers are still served', () =>
+  it('is refused beyond the caller limit, while the other callers are still served', () =>
     withProxy(1, async fixture => {
       const client = await fixture.connect()
       const more = Array.from({ length: CALLER_LIMIT }, () => new RawCaller(fixture.port))
--- a/packages/proxy/__tests__/support/fakeBackend.ts
+++ b/packages/proxy/__tests__/support/fakeBackend.ts
@@ -240,7 +240,7 @@
     if (this.#execute(sql, [], true)) this.#socket.write(readyForQuery(this.status))
   }
 
-  /** Returns false if the statement did not end with an ordinary answer. */
+  /** Returns false if no ReadyForQuery may follow: the connection was broken or a COPY was started. */
   #execute(sql: string, values: readonly string[], describes: boolean): boolean {
     if (sql.includes('break_now')) {
       this.#socket.write(rowDescription(['value']))
