--- a/packages/host/src/main.ts
+++ b/packages/host/src/main.ts
@@ -5,8 +5,8 @@
 import {
   LineBackendDialer,
   LineCallerLink,
-  PromotionCalls,
-  StoreCalls,
+  HttpPromotionPort,
+  HttpStoreLink,
   readSettingsFile,
   serveReadiness,
   settingsPath,
@@ -41,11 +41,11 @@
     settings,
     {
       dialer: new LineBackendDialer(),
-      store: new StoreCalls(settings.store),
+      store: new HttpStoreLink(settings.store),
       promotion:
         settings.promotion === null
           ? PROMOTION_UNAVAILABLE
-          : new PromotionCalls(settings.promotion),
+          : new HttpPromotionPort(settings.promotion),
       callerLink: socket => new LineCallerLink(socket),
     },
     log,
--- a/packages/proxy/src/activeRequest.ts
+++ b/packages/proxy/src/activeRequest.ts
@@ -47,7 +47,7 @@
 /** The transaction status after an error: a lost transaction stays failed until its COMMIT or ROLLBACK. */
 export function statusAfterRefusal(active: ActiveRequest): TransactionStatusByte {
   if (!active.insideTransaction || active.outcome !== null) return TransactionStatus.idle
-  const text = active.request.singleStatementText
+  const text = active.request.statementText
   const isCommit = text !== null && readTransactionEnd(text) === 'commit'
   return isCommit ? TransactionStatus.idle : TransactionStatus.failed
 }
--- a/packages/proxy/src/callerRequest.ts
+++ b/packages/proxy/src/callerRequest.ts
@@ -74,7 +74,7 @@
    * The whole text of a simple query, which may contain several statements; for an extended request the
    * text of its only statement, or null if it has none or several.
    */
-  get singleStatementText(): string | null {
+  get statementText(): string | null {
     if (this.shape.kind === 'simple') {
       const { frame } = this.shape
       return frame.toString('utf8', FRAME_HEADER_BYTES, frame.length - 1)
--- a/packages/proxy/src/lostTransaction.ts
+++ b/packages/proxy/src/lostTransaction.ts
@@ -37,7 +37,7 @@
 
 /** `isReported`: the caller has already received an error for the lost transaction. */
 export function replyInLostTransaction(request: CallerRequest, isReported: boolean): LocalReply {
-  const text = request.singleStatementText
+  const text = request.statementText
   const end = text === null ? null : readTransactionEnd(text)
   if (end === 'rollback' || (end === 'commit' && isReported)) return rolledBack(request)
   // A COMMIT must never appear to succeed: it gets an error, and its transaction ends.
--- a/packages/proxy/src/sessionState.ts
+++ b/packages/proxy/src/sessionState.ts
@@ -57,7 +57,7 @@
   switch (tag) {
     case 'SET':
     case 'RESET': {
-      const text = outcome.commands === 1 ? request.singleStatementText : null
+      const text = outcome.commands === 1 ? request.statementText : null
       if (text !== null && isLocalSetting(text)) return true
       // Inside a transaction it may be rolled back, and among several commands its text is unknown.
       if (text === null || insideTransaction) {
