--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -52,14 +52,14 @@
 /** Changes that arrive together, as when a zone fails, are handled in one plan and one snapshot. */
 const PLAN_DELAY_MILLISECONDS = 50
 const SNAPSHOT_DELAY_MILLISECONDS = 2
-/** Time for the message that this host leaves to reach its neighbours. */
+/** Time that the announcement of this host's departure gets to reach its neighbours. */
 const LEAVE_GRACE_MILLISECONDS = 200
-/** Hosts per zone that watch the store for the others. With two, one may fail or stall without notice. */
+/** Hosts per zone that watch the store for the others. With two, one may fail or stall without effect. */
 const STORE_FOLLOWERS_PER_ZONE = 2
 /** A host whose targets have not been confirmed for this long watches the store itself. */
 const FOLLOW_UNCONFIRMED_AFTER_MILLISECONDS = 5000
 const FOLLOW_CHECK_MILLISECONDS = 1000
-/** In a larger fleet, a host that starts gets the state from a neighbour instead of the store. */
+/** In a larger fleet, a host that starts first waits to get the state from a neighbour, not the store. */
 const LARGE_FLEET_HOSTS = 12
 const PEER_STATE_WAIT_MILLISECONDS = 3000
 
@@ -144,7 +144,7 @@
     this.#fleet = this.#startFleet(listening.port)
     await this.#poll.start()
     this.#startedAt = this.#clock.now()
-    this.#checkFollowing()
+    this.#startFollowChecks()
     this.#publication.request()
     return { listen: listening.port, proxyListen: proxyPort }
   }
@@ -206,7 +206,7 @@
       address: endpoint.address,
       port,
       // Hosts store nothing locally, so the start time serves as the incarnation. If the clock went back,
-      // the fleet still gossips a state of this host with a higher one, which is refuted when it arrives.
+      // other hosts still gossip a higher incarnation of this host, which it refutes when it arrives.
       incarnation: incarnation(Date.now()),
       status: 'alive',
     }
@@ -281,10 +281,11 @@
   }
 
   /**
-   * Rechecks periodically whether this host watches the store. A host that receives the state from no
-   * other host must watch it; if all of 1,500 hosts did, their long polls would use up the store's reads.
+   * Checks now and then periodically whether this host must watch the store. A host that receives the
+   * state from no other host must; if all of 1,500 hosts did, their long polls would use up the store's
+   * reads.
    */
-  #checkFollowing(): void {
+  #startFollowChecks(): void {
     const check = (): void => {
       this.#follower.setFollowing(this.#shouldFollow())
     }
@@ -303,6 +304,7 @@
     const { zone, region, entryHost } = this.#settings
     const inZone = fleet.membership.workers(now).filter(host => host.zone === zone)
     const plan = new WatcherPlan(inZone, STORE_FOLLOWERS_PER_ZONE)
+    // Followers are placed by the same plan as watchers, under a database id that stands for the store.
     const followers = plan.watchersOf(databaseId('store'), [{ zone, region }])
     return followers.some(host => host.entryHost === entryHost)
   }
--- a/packages/agent/src/databaseWatch.ts
+++ b/packages/agent/src/databaseWatch.ts
@@ -42,6 +42,7 @@
 
 /** Node timers may fire up to a millisecond early; added so that a tick is never early. */
 const TIMER_SLACK_MILLISECONDS = 1
+
 export class DatabaseWatch {
   readonly #options: DatabaseWatchOptions
   readonly #links = new Map<BackendServerId, ServerLink>()
@@ -56,7 +57,7 @@
     return this.#options.machine.events()
   }
 
-  /** Number of watched servers, for `agent.status`. */
+  /** Number of watched servers. */
   get serverCount(): number {
     return this.#links.size
   }
--- a/packages/agent/src/fleetTask.ts
+++ b/packages/agent/src/fleetTask.ts
@@ -41,7 +41,7 @@
 
 const GOSSIP_TIMEOUT_MILLISECONDS = 5000
 const PROBE_TIMEOUT_MILLISECONDS = 500
-/** Leaves time for the helper's own attempts. */
+/** Leaves time for the helper's own attempts: a ping on its link, then one on a new connection. */
 const PROBE_ANSWER_TIMEOUT_MILLISECONDS = 1400
 
 export interface FleetTaskListener {
@@ -49,7 +49,7 @@
   itemChanged(item: GossipItem): void
   /** The set of live or listed hosts, or the known state of one, changed. */
   membershipChanged(change: string, host: EntryHostId): void
-  /** Whether this host can confirm its targets as the newest changed. */
+  /** This host became able or unable to confirm its targets as the newest. */
   confirmationChanged(confirmed: boolean): void
   opinionReceived(opinion: WatcherOpinion): void
   /** Writes the document to the store; resolves after the attempt, whether or not it succeeded. */
--- a/packages/agent/src/hostListPoll.ts
+++ b/packages/agent/src/hostListPoll.ts
@@ -1,4 +1,4 @@
-/** Polls the platform's host list, which lags behind. While it is unreachable, the last list stays in use. */
+/** Polls the platform's host list, which lags behind changes. If it is unreachable, the last one is used. */
 import type { HostListResult, ListedHost } from '@nutmegcourse/protocol'
 import type { AvailabilityZoneId } from '@nutmegcourse/shared'
 import type { HostListClient } from '@nutmegcourse/transport'
--- a/packages/agent/src/peerNetwork.ts
+++ b/packages/agent/src/peerNetwork.ts
@@ -210,7 +210,10 @@
     return true
   }
 
-  /** If two agents dial each other at the same time, the link dialed by the lesser id is kept. */
+  /**
+   * Throws to refuse a hello. If two agents dial each other at the same time, the link dialed by the lesser
+   * id is kept; a peer with a higher incarnation has restarted, and its new link replaces the old one.
+   */
   #checkHello(hello: PeerHello): void {
     const existing = this.#links.get(hello.entryHost)
     const self = this.#options.hello().entryHost
--- a/packages/agent/src/storeFollower.ts
+++ b/packages/agent/src/storeFollower.ts
@@ -27,7 +27,7 @@
   readonly #listener: StoreFollowerListener
   #targets: StoredValue | null = null
   #reachable = false
-  #reportedRevision = 0
+  #reportedUnreadableRevision = 0
 
   constructor(client: StoreClient, clock: Clock, listener: StoreFollowerListener) {
     this.#listener = listener
@@ -69,7 +69,7 @@
 
   #failed(): void {
     this.#reachable = false
-    // After a failure everything is read again, and a key that is absent then is absent from the store.
+    // After a failure all keys are read again; targets kept from before might be gone from the store.
     this.#targets = null
   }
 
@@ -95,8 +95,8 @@
 
   /** Reports each value once, although it is evaluated again with each of the store's answers. */
   #reportUnreadable({ key, revision }: StoredValue): void {
-    if (this.#reportedRevision === revision) return
-    this.#reportedRevision = revision
+    if (this.#reportedUnreadableRevision === revision) return
+    this.#reportedUnreadableRevision = revision
     this.#listener.valueUnreadable(key)
   }
 
--- a/packages/agent/src/storeWatch.ts
+++ b/packages/agent/src/storeWatch.ts
@@ -10,7 +10,10 @@
 const RETRY_MILLISECONDS = 500
 
 export interface StoreWatchListener {
-  /** The state as of `askedAt` is complete: `values` are the ones that changed since the last call. */
+  /**
+   * The state as of `askedAt` is known: `values` are all values after a complete read, and otherwise the
+   * ones that changed since the last call.
+   */
   storeAnswered(values: readonly StoredValue[], askedAt: Milliseconds): void
   storeFailed(): void
 }
--- a/packages/agent/src/watchManager.ts
+++ b/packages/agent/src/watchManager.ts
@@ -98,8 +98,8 @@
     const assignments: Assignment[] = []
     for (const [database, servers] of databases) {
       const watchers = plan.watchersOf(database, servers)
-      const isOwn = watchers.some(watcher => watcher.entryHost === this.#options.self)
-      if (isOwn) assignments.push({ database, watchers, servers })
+      const isWatcher = watchers.some(watcher => watcher.entryHost === this.#options.self)
+      if (isWatcher) assignments.push({ database, watchers, servers })
     }
     return assignments
   }
@@ -119,7 +119,7 @@
 
   /**
    * A watch whose timing changed is replaced by a new one without state, as if the host had restarted.
-   * While the primary of its database is being changed it is kept, as it may be the one coordinating that.
+   * It is kept unless the record is known to be stable, as it may be coordinating a change of primary.
    */
   #reuseOrStop(database: DatabaseId, timing: WatchTiming): ActiveWatch | null {
     const entry = this.#activeWatches.get(database)
--- a/packages/ctl/__tests__/logsCommand.spec.ts
+++ b/packages/ctl/__tests__/logsCommand.spec.ts
@@ -74,7 +74,7 @@
     [['logs', 'summary', 'a.log'], { kind: 'summary' }, ['a.log']],
   ]
   for (const [args, query, files] of accepted) {
-    it(args.join(' '), () => {
+    it(`accepts ${args.join(' ')}`, () => {
       const parsed = parseCommand(args)
       expect(parsed.isOk() && parsed.value.command).toEqual({
         kind: 'logs',
--- a/packages/ctl/__tests__/targetsCommands.spec.ts
+++ b/packages/ctl/__tests__/targetsCommands.spec.ts
@@ -139,7 +139,7 @@
 
   // The answer to a change is lost, and before the retry another operator's change is made on top of it.
   // The command must find its own change id among the recent changes of the newer document.
-  it('recognises its change under a later change of another operator', async () => {
+  it('recognizes its own change after a later one by another operator', async () => {
     const store = new FakeStore()
     store.inject('loseAnswer')
     const original = store.compareAndSwap.bind(store)
--- a/packages/ctl/src/commands/logsCommand.ts
+++ b/packages/ctl/src/commands/logsCommand.ts
@@ -83,9 +83,9 @@
   for (const { event, fields } of lines) {
     const why = fields.refusal ?? fields.kind ?? fields.reason ?? fields.outcome ?? ''
     const key = typeof why === 'string' && why !== '' ? `${event} ${why}` : event
-    const times = event === 'lines_left_out' ? Number(fields.lines ?? 1) : 1
+    const occurrences = event === 'lines_left_out' ? Number(fields.lines ?? 1) : 1
     const name = event === 'lines_left_out' ? `${String(fields.of)} (left out)` : key
-    counts.set(name, (counts.get(name) ?? 0) + times)
+    counts.set(name, (counts.get(name) ?? 0) + occurrences)
   }
   const rows = [...counts].sort(([, left], [, right]) => right - left)
   if (json) return succeed(`${JSON.stringify(Object.fromEntries(rows))}\n`)
--- a/packages/ctl/src/main.ts
+++ b/packages/ctl/src/main.ts
@@ -44,17 +44,17 @@
   query: LogsQuery,
   json: boolean,
 ): Promise<CommandResult> {
-  const texts = await readAll(Promise.all(files.map(readText)))
+  const texts = await toResult(Promise.all(files.map(readText)))
   if (texts.isErr()) return fail(EXIT_CODES.usage, texts.error)
   return readLogs(texts.value.join('\n'), query, json)
 }
 
 function readOperand(command: FleetCommand): ResultAsync<string, string> {
   const hasFile = command.kind === 'apply' || command.kind === 'diff'
-  return hasFile ? readAll(readText(command.file)) : okAsync('')
+  return hasFile ? toResult(readText(command.file)) : okAsync('')
 }
 
-const readAll = <Text>(reading: Promise<Text>): ResultAsync<Text, string> =>
+const toResult = <Text>(reading: Promise<Text>): ResultAsync<Text, string> =>
   ResultAsync.fromPromise(reading, error =>
     error instanceof Error ? error.message : String(error),
   )
--- a/packages/ctl/src/runCommand.ts
+++ b/packages/ctl/src/runCommand.ts
@@ -19,7 +19,7 @@
   readonly changeId: string
 }
 
-/** Commands that access the store or an agent, and therefore need settings. */
+/** All commands but `logs`, which only reads files. Except for `help`, they need the store or an agent. */
 export type FleetCommand = Exclude<Command, { kind: 'logs' }>
 
 export async function runCommand(
@@ -59,7 +59,10 @@
   }
 }
 
-/** Best effort, 0 without an answer: the store decides, and the fleet repairs a store that lags. */
+/**
+ * Returns 0 if the agent does not answer. The store's version alone then determines the next one; a store
+ * that holds older targets than the fleet is repaired by the fleet.
+ */
 async function newestVersionOf(agent: AgentPort): Promise<number> {
   const known = await agent.getTargets()
   return known.map(({ targets }) => targets?.version ?? 0).unwrapOr(0)
--- a/packages/observability/src/boundedOutput.ts
+++ b/packages/observability/src/boundedOutput.ts
@@ -1,12 +1,12 @@
 /**
- * Standard output that never blocks the process. Node writes to pipes synchronously, so a reader that
- * stops reading would block the service. Here lines beyond a limit are dropped and counted instead.
+ * Output that does not wait for its reader. Node writes to standard output synchronously if it is a pipe,
+ * so a reader that stops reading would block the service. Here lines beyond a limit are dropped and counted.
  */
 import { fstatSync } from 'node:fs'
 import { Socket } from 'node:net'
 import { Writable } from 'node:stream'
 
-/** Maximum size of the unread output: a few seconds of lines if all events use their whole budget. */
+/** Maximum size of the unread output: a few seconds of lines if all events reach their line limits. */
 const MAX_UNREAD_BYTES = 262_144
 
 const STANDARD_OUTPUT = 1
@@ -37,7 +37,7 @@
   }
 }
 
-/** Standard output as a stream that does not block, whatever it is connected to. */
+/** Pipes and sockets never block; to files and terminals Node writes synchronously. */
 export function openStandardOutput(): BoundedOutput {
   const status = fstatSync(STANDARD_OUTPUT)
   if (!status.isFIFO() && !status.isSocket()) return new BoundedOutput(process.stdout)
--- a/packages/settings/src/processSettings.ts
+++ b/packages/settings/src/processSettings.ts
@@ -1,4 +1,4 @@
-/** Settings schemas of the shipped programs. They are the only source of their addresses and zone. */
+/** Settings schemas of the programs, which learn their addresses and zone from these settings only. */
 import { z } from 'zod'
 import { availabilityZoneId, entryHostId, regionId } from '@nutmegcourse/shared'
 
