--- a/packages/observability/src/metrics.ts
+++ b/packages/observability/src/metrics.ts
@@ -2,7 +2,7 @@
 import { StatsD } from 'hot-shots'
 import type { CounterName } from '@nutmegcourse/shared'
 
-/** Used without an endpoint, although nothing is sent then: the library warns about an invalid port. */
+/** The library's own default, passed without an endpoint. Nothing is sent then. */
 const DEFAULT_STATSD_PORT = 8125
 
 export interface MetricsEndpoint {
