--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -52,14 +52,14 @@
 /** Changes that arrive together, as when a zone fails, are handled in one plan and one snapshot. */
 const PLAN_DELAY_MILLISECONDS = 50
 const SNAPSHOT_DELAY_MILLISECONDS = 2
-/** Time that the announcement of this host's departure gets to reach its neighbours. */
+/** Time allowed for the announcement of this host's departure to reach its neighbours. */
 const LEAVE_GRACE_MILLISECONDS = 200
 /** Hosts per zone that watch the store for the others. With two, one may fail or stall without effect. */
 const STORE_FOLLOWERS_PER_ZONE = 2
 /** A host whose targets have not been confirmed for this long watches the store itself. */
 const FOLLOW_UNCONFIRMED_AFTER_MILLISECONDS = 5000
 const FOLLOW_CHECK_MILLISECONDS = 1000
-/** In a larger fleet, a host that starts first waits to get the state from a neighbour, not the store. */
+/** In a larger fleet, a starting host waits to get the state from a neighbour before it reads the store. */
 const LARGE_FLEET_HOSTS = 12
 const PEER_STATE_WAIT_MILLISECONDS = 3000
 
@@ -281,9 +281,9 @@
   }
 
   /**
-   * Checks now and then periodically whether this host must watch the store. A host that receives the
-   * state from no other host must; if all of 1,500 hosts did, their long polls would use up the store's
-   * reads.
+   * Checks at once and then periodically whether this host must watch the store. A host that receives
+   * the state from no other host must; if all of 1,500 hosts did, their long polls would use up the
+   * store's reads.
    */
   #startFollowChecks(): void {
     const check = (): void => {
--- a/packages/agent/src/fleetTask.ts
+++ b/packages/agent/src/fleetTask.ts
@@ -41,7 +41,7 @@
 
 const GOSSIP_TIMEOUT_MILLISECONDS = 5000
 const PROBE_TIMEOUT_MILLISECONDS = 500
-/** Leaves time for the helper's own attempts: a ping on its link, then one on a new connection. */
+/** Leaves time for the helper's own attempts: a ping on its link, then a call on a new connection. */
 const PROBE_ANSWER_TIMEOUT_MILLISECONDS = 1400
 
 export interface FleetTaskListener {
