--- a/packages/stand-ins/__tests__/databaseGroup.spec.ts
+++ b/packages/stand-ins/__tests__/databaseGroup.spec.ts
@@ -82,8 +82,8 @@
   })
 
   /**
-   * A primary accepted writes that no other server holds, and another server was promoted and
-   * accepted its own. When the old primary follows the new one, it must discard exactly the records
+   * The old primary accepts a write after its successor has been fenced, and the successor is promoted
+   * and accepts its own. When the old primary follows the new one, it must discard exactly the records
    * that the new one lacks.
    */
   it('discards the records that the followed primary lacks', async () => {
--- a/packages/stand-ins/__tests__/platform.spec.ts
+++ b/packages/stand-ins/__tests__/platform.spec.ts
@@ -108,7 +108,7 @@
     expect(await call('store.get', { key: 'out' })).toEqual(null)
   })
 
-  it('counts each call, a watch as one', async () => {
+  it('counts each watch as one call', async () => {
     expect(((await call('calls.count', {})) as Record<string, number>).watch).toEqual(3)
   })
 })
--- a/packages/stand-ins/__tests__/postgresProtocol.spec.ts
+++ b/packages/stand-ins/__tests__/postgresProtocol.spec.ts
@@ -83,15 +83,15 @@
     expect((await client.query({ ...named, values: ['absent'] })).rows).toEqual([])
   })
 
-  it('answers pipelined statements in order, with the position after a write including it', async () => {
+  it('answers pipelined statements in order, and a position queried after a write includes it', async () => {
     const write = client.query("INSERT INTO entries (key, value) VALUES ('piped', '1')")
     const position = client.query<{ log_offset: string }>(
       'SELECT role, term, log_offset, fenced_term FROM platform_position()',
     )
     await write
-    const before = Number((await position).rows[0]?.log_offset)
-    const [, , now] = await group.position(0)
-    expect(before).toEqual(Number(now))
+    const pipelinedOffset = Number((await position).rows[0]?.log_offset)
+    const [, , currentOffset] = await group.position(0)
+    expect(pipelinedOffset).toEqual(Number(currentOffset))
   })
 
   it('commits a transaction as one record and logs none for a rollback', async () => {
--- a/packages/stand-ins/__tests__/storeRestore.spec.ts
+++ b/packages/stand-ins/__tests__/storeRestore.spec.ts
@@ -11,10 +11,10 @@
     [1, 1],
     [7, 2 ** 39],
   ]
-  for (const [era, own] of cases) {
-    it(`keeps era ${String(era)} and revision ${String(own)} apart`, () => {
-      const revision = storeRevision(era, own)
-      expect([eraOf(revision), revisionWithinEra(revision)]).toEqual([era, own])
+  for (const [era, withinEra] of cases) {
+    it(`encodes era ${String(era)} and revision ${String(withinEra)} without loss`, () => {
+      const revision = storeRevision(era, withinEra)
+      expect([eraOf(revision), revisionWithinEra(revision)]).toEqual([era, withinEra])
     })
   }
 
--- a/packages/stand-ins/src/backendServer/backendServer.ts
+++ b/packages/stand-ins/src/backendServer/backendServer.ts
@@ -25,7 +25,7 @@
   readonly #sockets = new Set<Socket>()
   #follower: ReplicationFollower | null = null
   #server: Server | null = null
-  #connectionsAccepted = 0
+  #lastProcessId = 0
   #connectionPeak = 0
   #connectionsRefused = 0
 
@@ -77,8 +77,8 @@
   #accept(socket: Socket): void {
     this.#sockets.add(socket)
     socket.once('close', () => this.#sockets.delete(socket))
-    this.#connectionsAccepted += 1
-    const processId = this.#connectionsAccepted
+    this.#lastProcessId += 1
+    const processId = this.#lastProcessId
     const connection: ClientConnection = new ClientConnection(socket, processId, {
       connectMilliseconds: this.#settings.connectMilliseconds,
       admit: () => this.#admit(connection),
--- a/packages/stand-ins/src/backendServer/statements.ts
+++ b/packages/stand-ins/src/backendServer/statements.ts
@@ -34,7 +34,7 @@
   | { readonly kind: 'generateRows'; readonly count: number; readonly bytes: number }
   | ControlStatement
 
-/** Sent by the fleet or, for lag and counts, by a test. Does not occupy a slot. */
+/** Sent by the fleet or, for lag, paused replication and counts, by a test. Does not occupy a slot. */
 export type ControlStatement =
   | { readonly kind: 'position' }
   | { readonly kind: 'fence'; readonly term: ReturnType<typeof term> }
--- a/packages/stand-ins/src/backendServer/transaction.ts
+++ b/packages/stand-ins/src/backendServer/transaction.ts
@@ -61,7 +61,10 @@
     this.#changes.push({ kind: 'addEvent', id, value })
   }
 
-  /** The changes to commit; an error when another transaction has committed an inserted key. */
+  /**
+   * The changes to commit; an error when the committed table holds an inserted key: one that another
+   * transaction has committed, or one that this transaction removed before it inserted it again.
+   */
   finish(): Result<readonly Change[], SqlError> {
     const duplicate = [...this.#inserted].find(key => this.#tables.entries.has(key))
     return duplicate === undefined ? ok(this.#changes) : err(duplicateKey(duplicate))
--- a/packages/stand-ins/src/hostPlatform/memoryGroup.ts
+++ b/packages/stand-ins/src/hostPlatform/memoryGroup.ts
@@ -52,9 +52,9 @@
   #newestToken = 0
   /** Acknowledged writes, in order. */
   readonly acknowledged: LoggedWrite[] = []
-  /** Every executed statement, as `server:id`. */
+  /** Every read and write that ran, also in a transaction rolled back later, as `server:id`. */
   readonly executedStatements: string[] = []
-  /** The customer for whom the connection of each executed statement was opened. */
+  /** The same reads and writes with the customer for whom their connection was opened. */
   readonly statementCustomers: { readonly id: string; readonly customer: CustomerName | null }[] =
     []
   /** Violations of the platform's contract, one message each. */
@@ -126,7 +126,7 @@
     return isReplicated
   }
 
-  /** The log position of a write; null when no write with this id ran. */
+  /** The log position of a write; null when no server has logged a write with this id. */
   positionOf(id: string): LogPosition | null {
     return this.#positions.get(id) ?? null
   }
@@ -141,10 +141,10 @@
     if (server.isDown) server.pausedFor = 0
     server.isDown = false
     if (server.role === 'primary') return
-    const { currentPrimary: leader } = this
-    if (leader === null) return
-    server.log = [...leader.log]
-    server.term = leader.term
+    const { currentPrimary: primary } = this
+    if (primary === null) return
+    server.log = [...primary.log]
+    server.term = primary.term
   }
 
   /** Appends only the last writes when the rest of the log matches, otherwise copies the whole log. */
--- a/packages/stand-ins/src/hostPlatform/memoryLink.ts
+++ b/packages/stand-ins/src/hostPlatform/memoryLink.ts
@@ -34,7 +34,7 @@
   readonly #hooks: MemoryDialerHooks
   #transaction: OpenTransaction | null = null
   #hasFailed = false
-  #closed: (() => void) | null = null
+  #closeListener: (() => void) | null = null
   readonly #pendingReplies = new Set<(reply: Reply) => void>()
 
   readonly #unreachable: ReadonlySet<BackendServerId>
@@ -73,11 +73,11 @@
     this.#server.connections -= 1
     for (const resolve of this.#pendingReplies) resolve(err({ kind: 'connectionLost' }))
     this.#pendingReplies.clear()
-    this.#closed?.()
+    this.#closeListener?.()
   }
 
   onClosed(listener: () => void): void {
-    this.#closed = listener
+    this.#closeListener = listener
   }
 
   async #answer(command: BackendCommand): Promise<Reply> {
--- a/packages/stand-ins/src/hostPlatform/memoryStore.ts
+++ b/packages/stand-ins/src/hostPlatform/memoryStore.ts
@@ -99,8 +99,8 @@
   }
 
   /**
-   * Restores a snapshot. Changes made since are lost, and revision and lease numbers are assigned again, in a new era.
-   * The operator's configuration and the server entries must be written again by their owners.
+   * Restores a snapshot, including the operator's configuration and the server entries. Changes made since are lost
+   * until their owners write them again, and revision and lease numbers are assigned again, in a new era.
    */
   restore(snapshot: StoreSnapshot): void {
     const era = eraOf(this.#revision) + 1
@@ -132,7 +132,7 @@
     return [...this.#records.keys()].filter(key => key.startsWith(prefix)).sort()
   }
 
-  /** Removes a record as a platform does that revokes keys. */
+  /** Removes a record without a call of its owner, as a platform that revokes keys does. */
   revoke(key: string): void {
     if (this.#records.delete(key)) this.#recordRemoval(key)
   }
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for the platform and the databases. Private: only tests and benchmarks use them. */
+/** Stand-ins for the platform and the databases. Private: only tests, benchmarks and the soak use them. */
 export * from './backendServer/backendServer.js'
 export * from './backendServer/backendServerSettings.js'
 export * from './hostList/hostListServer.js'
--- a/packages/stand-ins/src/process/standInProcess.ts
+++ b/packages/stand-ins/src/process/standInProcess.ts
@@ -20,7 +20,10 @@
   process.stdout.write(`${JSON.stringify({ ready: true, ...ports })}\n`)
 }
 
-/** Exits when the parent process closes standard input, so that an aborted test leaves no processes. */
+/**
+ * Exits on SIGTERM, and when standard input ends because the parent process has exited, so that an
+ * aborted test leaves no processes.
+ */
 export function endWithParent(): void {
   const end = (): void => process.exit(0)
   process.on('SIGTERM', end)
--- a/packages/stand-ins/src/store/storeContents.ts
+++ b/packages/stand-ins/src/store/storeContents.ts
@@ -55,7 +55,7 @@
     return { succeeded: true, revision: this.#put(params.key, params.value, leaseId) }
   }
 
-  /** The changes under `prefix` after a revision; null when there are none. */
+  /** The last change of each key under `prefix` if made after `revision`; null when there are none. */
   changesAfter(prefix: string, revision: number): StoreWatchResult | null {
     this.#expireLeases()
     const changes = this.#changesWith(prefix).filter(change => change.revision > revision)
