--- a/packages/stand-ins/__tests__/testGroup.ts
+++ b/packages/stand-ins/__tests__/testGroup.ts
@@ -27,14 +27,14 @@
   async start(settings: Partial<BackendServerSettings> = {}): Promise<void> {
     this.#directory = mkdtempSync(join(tmpdir(), 'stand-ins-'))
     for (let index = 0; index < SERVER_COUNT; index += 1) {
-      const own: Partial<BackendServerSettings> = {
+      const memberSettings: Partial<BackendServerSettings> = {
         ...settings,
         dataFile: join(this.#directory, String(index)),
         initialRole: index === 0 ? 'primary' : 'replica',
         initialTerm: 1,
       }
-      const server = new BackendServer(backendServerSettingsSchema.parse(own))
-      this.#members.push({ server, port: await server.start(), settings: own })
+      const server = new BackendServer(backendServerSettingsSchema.parse(memberSettings))
+      this.#members.push({ server, port: await server.start(), settings: memberSettings })
     }
     await this.follow(1, 1, 0)
     await this.follow(2, 1, 0)
--- a/packages/stand-ins/src/backendServer/statementText.ts
+++ b/packages/stand-ins/src/backendServer/statementText.ts
@@ -6,6 +6,7 @@
 /** A literal as a statement pattern captures it: a quoted text, a number or a parameter. */
 export const LITERAL = String.raw`('(?:[^']|'')*'|\$\d+|-?\d+(?:\.\d+)?)`
 
+/** Comment markers inside quoted literals count as comments too. */
 export const withoutComments = (text: string): string =>
   text.includes('/*') || text.includes('--') ? text.replace(COMMENT, ' ').trim() : text.trim()
 
