--- a/packages/model/__tests__/configurationSpecification.spec.ts
+++ b/packages/model/__tests__/configurationSpecification.spec.ts
@@ -16,9 +16,9 @@
   })
 
   /*
-   * Each row must violate an invariant: an operator receives "refused" for a change that took
-   * effect, or "accepted" for one that did not; or a host returns to an older document that a slow
-   * host forwards.
+   * Each row must violate an invariant: two changes are accepted with the same version; an operator
+   * receives "refused" for a change that took effect, or "accepted" for one that did not; or a host
+   * returns to an older document that a slow host forwards.
    */
   const mutations: readonly {
     readonly mutation: ConfigurationMutation
--- a/packages/model/__tests__/failoverCore.spec.ts
+++ b/packages/model/__tests__/failoverCore.spec.ts
@@ -29,8 +29,8 @@
 describe('FailoverCore checked against the group specification', () => {
   /*
    * Guards against losing an acknowledged write when hosts restart, messages are lost, late or out
-   * of order, and coordinators race. It is lost if FailoverCore takes a step that the specification
-   * does not allow.
+   * of order, and coordinators race. It can be lost if FailoverCore takes a step that the
+   * specification does not allow.
    */
   test('takes only allowed steps, and every state keeps the invariants', context => {
     let promotions = 0
--- a/packages/model/__tests__/groupSpecification.spec.ts
+++ b/packages/model/__tests__/groupSpecification.spec.ts
@@ -22,9 +22,10 @@
   }
 
   /*
-   * Each row omits one guard and must violate an invariant: an acknowledged write is lost, a write
-   * reported as not run is present, or a read misses a write acknowledged before it,
-   * such as one of its own session. The exploration reports a shortest path to the violation.
+   * Each row omits one guard or makes one mistake, and must violate an invariant: an acknowledged
+   * write is lost, a recorded term start differs from a log, a write reported as not run is present,
+   * or a read misses a write acknowledged before it, such as one of its own session. The exploration
+   * reports a shortest path to the violation.
    */
   const RACE: GroupBounds = { attempts: 2, writes: 1, reads: false }
   const READ: GroupBounds = { attempts: 1, writes: 1, reads: true }
--- a/packages/model/src/explore.ts
+++ b/packages/model/src/explore.ts
@@ -1,4 +1,4 @@
-/** Explores every state of a specification within its bounds, breadth first. */
+/** Explores the states of a specification within its bounds, breadth first, up to the first violation. */
 import { getAdjacencyMap } from '@xstate/graph'
 import type { ActorLogic, EventObject } from 'xstate'
 
@@ -12,6 +12,7 @@
 
 export interface Exploration<Step> {
   readonly states: number
+  /** Excludes transitions to states that were already known when their steps were listed. */
   readonly transitions: number
   readonly seconds: number
   readonly violation: Violation<Step> | null
--- a/packages/model/src/groupInvariants.ts
+++ b/packages/model/src/groupInvariants.ts
@@ -78,8 +78,8 @@
 }
 
 /**
- * The bound from any majority of answers is at or past every write that the read must see, and
- * every server at or past the bound holds those writes.
+ * For each bound that a majority of answers can give, every server at or past the bound holds the
+ * writes that the read must see.
  */
 function readSeesRequiredWrites(state: GroupState, mutation: Mutation): boolean {
   const { read } = state
--- a/packages/model/src/groupObservers.ts
+++ b/packages/model/src/groupObservers.ts
@@ -1,7 +1,8 @@
 /**
  * Models the proxies, which observe the servers without changing them: which writes they saw held,
  * acknowledged or reported as not run, and which positions were reported during a read. Each further
- * observation adds to their promises, so observing every state at once is the worst case.
+ * observation adds to what callers are promised, so observing every state as soon as it is reached
+ * is the worst case.
  */
 import {
   MAJORITY,
@@ -42,11 +43,13 @@
   mutation: Mutation,
 ): TermStartState {
   if (start.isInForce) return start
-  const isIn = ({ position, fencedTerm }: Report): boolean =>
+  const hasReachedTerm = ({ position, fencedTerm }: Report): boolean =>
     mutation === 'rollBackByAnyLaterTerm'
       ? position.term >= start.term
       : position.term === start.term && hasNoLaterFence(fencedTerm, start.term, mutation)
-  const holders = start.holders.map((held, index) => held || isIn(reportAt(reports, index)))
+  const holders = start.holders.map(
+    (held, index) => held || hasReachedTerm(reportAt(reports, index)),
+  )
   const isInForce = count(holders) >= MAJORITY || mutation === 'rollBackBeforeMajority'
   return isInForce ? { ...start, holders: NO_HOLDERS, isInForce } : { ...start, holders }
 }
--- a/packages/model/src/groupSpecification.ts
+++ b/packages/model/src/groupSpecification.ts
@@ -1,12 +1,13 @@
 /**
  * The steps that a database group and its coordinators and callers may take: write, replicate,
- * acknowledge, fence, choose, promote, follow, and read by a bound. Any step may occur at any time,
- * so a step that never occurs models a lost message, a dead process or a partition, and a late step
- * models a paused process.
+ * fence, choose, promote, follow, and read by a bound. Any step may occur at any time, so a step
+ * that never occurs models a lost message, a dead process or a partition, and a late step models a
+ * paused process.
  *
- * Observers change nothing, and each further observation adds to their promises. They therefore
- * observe each state as soon as it is reached: that is the worst case, and it avoids exploring the
- * orders in which answers may arrive.
+ * Acknowledgements are not steps: the observers derive them. Observers do not change the servers,
+ * and each further observation adds to what callers are promised. They therefore observe each state
+ * as soon as it is reached: that is the worst case, and it avoids exploring the orders in which
+ * answers may arrive.
  */
 import { observe } from './groupObservers.js'
 import {
@@ -128,8 +129,8 @@
 ): GroupState | null {
   const attempt = attemptAt(state, attemptIndex)
   const server = serverAt(state, index)
-  const isDecided = attempt.chosenServer !== null && server.fencedTerm === attempt.term
-  const isRepeated = attempt.promises[index] !== null || isDecided
+  const isFencedAfterChoice = attempt.chosenServer !== null && server.fencedTerm === attempt.term
+  const isRepeated = attempt.promises[index] !== null || isFencedAfterChoice
   if (isRepeated) return null
   const fencedServer = mutation === 'noFence' ? server : applyFence(server, attempt.term)
   if (fencedServer === null) return null
--- a/packages/model/src/serverRules.ts
+++ b/packages/model/src/serverRules.ts
@@ -29,7 +29,10 @@
     ? null
     : { ...server, log: [...server.log, { term: server.primaryTerm, write }] }
 
-/** Appends the primary's next record, or first truncates the log to the prefix that both share. */
+/**
+ * Truncates the log to the prefix that it shares with the primary's; if it already is that prefix,
+ * appends the primary's next record. Returns null if both logs are equal.
+ */
 export function replicateNextRecord(server: ServerState, primary: ServerState): ServerState | null {
   const shared = commonPrefixLength(server.log, primary.log)
   if (shared < server.log.length) return { ...server, log: server.log.slice(0, shared) }
--- a/packages/soak/__tests__/consistencyChecker.spec.ts
+++ b/packages/soak/__tests__/consistencyChecker.spec.ts
@@ -182,9 +182,9 @@
   ],
 ]
 
-describe('the consistency checker of the soak test reports', () => {
+describe('the consistency checker of the soak test', () => {
   for (const [name, runCase, findings] of cases) {
-    it(name, () => {
+    it(`reports ${name}`, () => {
       const fixture = createFixture()
       runCase(fixture)
       expect(fixture.checker.finish()).toEqual(findings)
--- a/packages/soak/__tests__/soak.spec.ts
+++ b/packages/soak/__tests__/soak.spec.ts
@@ -85,9 +85,9 @@
   },
 ]
 
-describe('entry host processes keep their promises under faults', () => {
+describe('entry host processes under faults', () => {
   for (const { name, seed, kinds, hosts } of RUNS) {
-    it(`with ${name}`, async () => {
+    it(`keep their promises with ${name}`, async () => {
       const directory = mkdtempSync(join(tmpdir(), 'nutmegcourse-soak-'))
       try {
         const report = await runSoak({
--- a/packages/soak/__tests__/stallDetector.spec.ts
+++ b/packages/soak/__tests__/stallDetector.spec.ts
@@ -12,7 +12,7 @@
 
 describe('the stall detector', () => {
   for (const [name, span, isReported] of CASES) {
-    it(`for an event loop blocked for ${name} reports ${isReported ? 'one stall' : 'no stall'}`, () => {
+    it(`reports ${isReported ? 'one stall' : 'no stall'} when the event loop is blocked for ${name}`, () => {
       const detector = new StallDetector()
       const before = performance.now()
       while (performance.now() < before + span);
--- a/packages/soak/src/consistencyChecker.ts
+++ b/packages/soak/src/consistencyChecker.ts
@@ -1,6 +1,6 @@
 /**
  * Checks the promises to callers against the answers that they received and the final logs of the
- * backend servers. Each finding is one sentence; a run without findings kept its promises.
+ * primaries. Each finding is one sentence; a run without findings broke no promise that is checked.
  */
 import { isAtOrPast, laterPosition, logPosition, type LogPosition } from '@nutmegcourse/shared'
 import type { MemoryGroup } from '@nutmegcourse/stand-ins'
@@ -36,7 +36,7 @@
     this.#sentIds.add(id)
   }
 
-  /** Records that a caller received the acknowledgement of these writes. Returns their position. */
+  /** Records that a caller received the acknowledgement of these writes. Returns their position, if a server executed them. */
   recordAcknowledged(
     service: string,
     ids: readonly string[],
@@ -65,7 +65,7 @@
     for (const id of ids) this.#notAppliedIds.set(id, service)
   }
 
-  /** Returns the position that a read sent now must have reached. */
+  /** Returns the lowest log position at which a server may answer a read that is sent now. */
   requiredPosition(service: string, rule: ReadRule, own: LogPosition | null): LogPosition {
     const now = performance.now()
     const known = this.#acknowledged.get(service) ?? []
@@ -126,7 +126,7 @@
     this.#report(finding)
   }
 
-  /** Checks the final logs of the servers and returns all findings. */
+  /** Checks the final log of each primary and returns all findings. */
   finish(): readonly string[] {
     const held = new Set<string>()
     for (const group of this.#groups.values()) {
--- a/packages/soak/src/faultInjector.ts
+++ b/packages/soak/src/faultInjector.ts
@@ -190,18 +190,18 @@
 
   /** Returns true if no other fault with the same overlap key is active. */
   #activate(fault: Fault): boolean {
-    const name = overlapKey(fault)
-    const standing = this.#activeCounts.get(name) ?? 0
-    this.#activeCounts.set(name, standing + 1)
-    return standing === 0
+    const key = overlapKey(fault)
+    const activeCount = this.#activeCounts.get(key) ?? 0
+    this.#activeCounts.set(key, activeCount + 1)
+    return activeCount === 0
   }
 
   /** Returns true if this was the last active fault with its overlap key. */
   #deactivate(fault: Fault): boolean {
-    const name = overlapKey(fault)
-    const standing = (this.#activeCounts.get(name) ?? 1) - 1
-    this.#activeCounts.set(name, standing)
-    return standing === 0
+    const key = overlapKey(fault)
+    const activeCount = (this.#activeCounts.get(key) ?? 1) - 1
+    this.#activeCounts.set(key, activeCount)
+    return activeCount === 0
   }
 }
 
--- a/packages/soak/src/faultPlan.ts
+++ b/packages/soak/src/faultPlan.ts
@@ -13,7 +13,7 @@
   | { readonly kind: 'hostStoppedTwice'; readonly host: string }
   /** SIGHUP, which makes the process reload its settings file. */
   | { readonly kind: 'hostReloaded'; readonly host: string }
-  /** No data passes between `from` and the host, or in one direction only. */
+  /** No data passes between `from` and the host; with `oneWay`, only data to the host is cut. */
   | {
       readonly kind: 'cut'
       readonly host: string
@@ -30,10 +30,13 @@
   | { readonly kind: 'replicaDeaf'; readonly server: string }
   /** The server is listed as leaving until the fault ends. */
   | { readonly kind: 'serverLeaves'; readonly server: string }
+  /** The server executes commands, but some of its answers are lost. */
   | { readonly kind: 'answersLost'; readonly server: string }
+  /** No host can reach the store. */
   | { readonly kind: 'storeAway' }
   /** The store applies changes without answering. */
   | { readonly kind: 'storeLosesAnswers' }
+  /** The store discards its change history; watches from earlier revisions must list again. */
   | { readonly kind: 'storeForgetsHistory' }
   | { readonly kind: 'configurationChanged' }
 
@@ -96,7 +99,7 @@
     startsAtMilliseconds += sizes.paceMilliseconds * (0.25 + 1.5 * random.next())
     if (startsAtMilliseconds >= sizes.spanMilliseconds) return planned
     const span = MAX_DURATION_MILLISECONDS - MIN_DURATION_MILLISECONDS
-    // Squaring favours short faults: most network faults last less than a second.
+    // Squaring favours short faults, since most real network faults last less than a second.
     const durationMilliseconds = MIN_DURATION_MILLISECONDS + span * random.next() ** 2
     planned.push({
       fault: drawFault(sizes, random),
--- a/packages/soak/src/hostProcess.ts
+++ b/packages/soak/src/hostProcess.ts
@@ -24,7 +24,7 @@
   #child: ChildProcess | null = null
   /** Whether the current incarnation of the process has become ready. */
   #hasBecomeReady = false
-  /** From the stop signal until callers have received the end of their connections. */
+  /** True from the stop signal until callers have received the end of their connections. */
   isStopping = false
 
   constructor(plan: HostProcessPlan) {
--- a/packages/soak/src/index.ts
+++ b/packages/soak/src/index.ts
@@ -1,4 +1,4 @@
-/** The soak test: runs entry host processes under random faults and checks their consistency. Private. */
+/** The soak test: runs entry host processes under random faults and checks their consistency. Not published. */
 export * from './faultPlan.js'
 export { ConsistencyChecker, type ReadRule } from './consistencyChecker.js'
 export * from './runSoak.js'
--- a/packages/soak/src/soakCaller.ts
+++ b/packages/soak/src/soakCaller.ts
@@ -31,8 +31,9 @@
 /** A statement without a successful answer. */
 export interface UnsuccessfulStatement {
   readonly host: string
-  /** `-` for a statement that changes only the session. */
+  /** `-` for a begin or a rollback. */
   readonly id: string
+  /** The time from sending the statement to its answer or to the end of the wait. */
   readonly owedMilliseconds: number
   /** `closed`: the connection ended, or the wait timed out, before an answer arrived. */
   readonly answer: Exclude<WireAnswer, { kind: 'done' }>
@@ -143,7 +144,7 @@
       const id = this.#nextId()
       const answer = await this.#awaitAnswer(session, id, wire.write(id, 'a1', 'x'))
       writes.push(id)
-      // Before its commit is sent, no write of a transaction may take effect, whatever its outcome.
+      // Until the commit is sent, no write of the transaction may take effect, whatever its answer was.
       if (answer.kind !== 'done') {
         this.#checker.recordNotApplied(service, writes)
         await this.#awaitAnswer(session, '-', wire.rollBack(this.#nextId()))
--- a/packages/soak/src/soakFleet.ts
+++ b/packages/soak/src/soakFleet.ts
@@ -1,7 +1,8 @@
 /**
  * The fleet of a run: entry hosts as separate processes, stand-ins for the store and the backend
- * servers in this process, and a relay on every link between them so that each link can fail
- * independently.
+ * servers in this process, and a relay on each link from callers to a host and from a host to the
+ * store or a server, so that each of them can fail independently. Hosts connect to each other
+ * directly.
  */
 import { availabilityZoneId, backendServerId, type BackendServerId } from '@nutmegcourse/shared'
 import type { BackendServerEntry, FleetConfiguration, Route } from '@nutmegcourse/protocol'
@@ -22,7 +23,7 @@
 const ZONES = ['zone-a', 'zone-b', 'zone-c'] as const
 const REGIONS = { 'zone-a': 'region-1', 'zone-b': 'region-1', 'zone-c': 'region-2' }
 
-/** The one-way delay of every link, as between two availability zones. */
+/** The one-way delay of every link through the relay, as between two availability zones. */
 const LINK_DELAY_MILLISECONDS = 1
 const STATEMENT_WORK_MILLISECONDS = 4
 const PROMOTION_MILLISECONDS = 300
