--- a/packages/model/__tests__/failoverCore.spec.ts
+++ b/packages/model/__tests__/failoverCore.spec.ts
@@ -46,7 +46,7 @@
     expect(promotions).toBeGreaterThan(RUNS)
   })
 
-  test('detects terms that are not drawn at random for each attempt', () => {
+  test('violates the specification when terms are not drawn at random for each attempt', () => {
     const details = fastCheck.check(
       fastCheck.property(schedules, schedule => {
         return run(schedule, () => ({ next: () => 0 })).violations.length === 0
--- a/packages/model/src/groupConformanceChecker.ts
+++ b/packages/model/src/groupConformanceChecker.ts
@@ -44,7 +44,10 @@
     if (violation !== null) this.violations.push(violation)
   }
 
-  /** Checks that the specification allows the command. */
+  /**
+   * Checks that the specification allows the command when a coordinator sends it. The first fence of
+   * a term adds the attempt; the first promotion takes the attempt's `choose` step.
+   */
   checkEffect(effect: ServerEffect): void {
     const server = SERVER_NAMES.indexOf(effect.server)
     switch (effect.kind) {
--- a/packages/model/src/groupState.ts
+++ b/packages/model/src/groupState.ts
@@ -51,7 +51,7 @@
   readonly isInForce: boolean
 }
 
-/** A pending read: the writes it must see, and the lowest position of each server since the read arrived. */
+/** A pending read: the writes it must see, and each server's lowest position since the read arrived. */
 export interface ReadState {
   readonly requiredWrites: readonly number[]
   readonly lowestReported: readonly Position[]
--- a/packages/soak/src/consistencyChecker.ts
+++ b/packages/soak/src/consistencyChecker.ts
@@ -1,6 +1,6 @@
 /**
  * Checks the promises to callers against the answers that they received and the final logs of the
- * primaries. Each finding is one sentence; a run without findings broke no promise that is checked.
+ * primaries. Each finding is one sentence; a run without findings broke none of the checked promises.
  */
 import { isAtOrPast, laterPosition, logPosition, type LogPosition } from '@nutmegcourse/shared'
 import type { MemoryGroup } from '@nutmegcourse/stand-ins'
@@ -36,7 +36,10 @@
     this.#sentIds.add(id)
   }
 
-  /** Records that a caller received the acknowledgement of these writes. Returns their position, if a server executed them. */
+  /**
+   * Records that a caller received the acknowledgement of these writes. Returns their position; null
+   * if no server executed them.
+   */
   recordAcknowledged(
     service: string,
     ids: readonly string[],
