--- a/packages/soak/__tests__/consistencyChecker.spec.ts
+++ b/packages/soak/__tests__/consistencyChecker.spec.ts
@@ -47,7 +47,7 @@
 
 const cases: readonly (readonly [string, (fixture: Fixture) => void, readonly string[]])[] = [
   [
-    'nothing when every promise is kept',
+    'reports nothing when every promise is kept',
     fixture => {
       write(fixture, 'w1')
       read(fixture, fixture.checker.requiredPosition(SERVICE, { kind: 'latest' }, null), 'w1')
@@ -55,7 +55,7 @@
     [],
   ],
   [
-    'an acknowledged write that no server executed',
+    'reports an acknowledged write that no server executed',
     fixture => {
       fixture.checker.recordSent('w1')
       fixture.checker.recordAcknowledged(SERVICE, ['w1'], 'commit-w1')
@@ -63,7 +63,7 @@
     ['w1 acknowledged, but no server executed it', 'acknowledged write w1 is lost'],
   ],
   [
-    'an acknowledged write that is lost',
+    'reports an acknowledged write that is lost',
     fixture => {
       write(fixture, 'w1')
       fixture.group.primary.log.pop()
@@ -71,7 +71,7 @@
     ['acknowledged write w1 is lost'],
   ],
   [
-    'a write that was applied twice',
+    'reports a write that was applied twice',
     fixture => {
       write(fixture, 'w1')
       fixture.group.commit(fixture.group.primary, ['w1'])
@@ -79,7 +79,7 @@
     ['write w1 was applied twice'],
   ],
   [
-    'a refused write that was applied',
+    'reports a refused write that was applied',
     fixture => {
       fixture.checker.recordSent('w1')
       fixture.group.commit(fixture.group.primary, ['w1'])
@@ -88,14 +88,14 @@
     ['write w1 was applied, although it was refused or never committed'],
   ],
   [
-    'a write that no caller sent',
+    'reports a write that no caller sent',
     fixture => {
       fixture.group.commit(fixture.group.primary, ['w1'])
     },
     ['no caller sent write w1'],
   ],
   [
-    "the answer to another caller's commit",
+    "reports the answer to another caller's commit",
     fixture => {
       fixture.checker.recordSent('w1')
       fixture.group.commit(fixture.group.primary, ['w1'])
@@ -104,7 +104,7 @@
     ['answer commit-w1+w2 was returned for the commit of w1'],
   ],
   [
-    "the answer to another caller's read",
+    "reports the answer to another caller's read",
     fixture => {
       read(
         fixture,
@@ -116,7 +116,7 @@
     ['answer read-s was returned for read r'],
   ],
   [
-    'a latest read that misses the newest write',
+    'reports a latest read that misses the newest write',
     fixture => {
       write(fixture, 'w1')
       write(fixture, 'w2')
@@ -125,7 +125,7 @@
     ['read r saw 1.1, but required at least 1.2'],
   ],
   [
-    "a read that misses its session's own write",
+    "reports a read that misses its session's own write",
     fixture => {
       const own = write(fixture, 'w1')
       const required = fixture.checker.requiredPosition(
@@ -138,7 +138,7 @@
     ['read r saw 1.0, but required at least 1.1'],
   ],
   [
-    'nothing for a bounded read within its maximum age',
+    'reports nothing for a bounded read within its maximum age',
     fixture => {
       write(fixture, 'w1')
       const rule = { kind: 'bounded', ageMilliseconds: 60_000 } as const
@@ -147,14 +147,14 @@
     [],
   ],
   [
-    'a statement whose connection was closed by a planned stop',
+    'reports a statement whose connection was closed by a planned stop',
     fixture => {
       checkStatement(fixture, { kind: 'closed' })
     },
     ['host-1 closed the connection of w1 during a planned stop, unanswered for 2.0 ms'],
   ],
   [
-    'an unknown outcome during planned operations',
+    'reports an unknown outcome during planned operations',
     fixture => {
       checkStatement(fixture, { kind: 'unknown', detail: 'r: lost' })
     },
@@ -163,14 +163,14 @@
     ],
   ],
   [
-    'a transaction rolled back during planned operations',
+    'reports a transaction rolled back during planned operations',
     fixture => {
       checkStatement(fixture, { kind: 'notRun', detail: 'r: gone', isRolledBack: true })
     },
     ['host-1 rolled w1 back during planned operations: "r: gone", unanswered for 2.0 ms'],
   ],
   [
-    'nothing for a refusal that can be retried at once',
+    'reports nothing for a refusal that can be retried at once',
     fixture => {
       checkStatement(fixture, {
         kind: 'notRun',
@@ -184,7 +184,7 @@
 
 describe('the consistency checker of the soak test', () => {
   for (const [name, runCase, findings] of cases) {
-    it(`reports ${name}`, () => {
+    it(name, () => {
       const fixture = createFixture()
       runCase(fixture)
       expect(fixture.checker.finish()).toEqual(findings)
--- a/packages/soak/__tests__/stallDetector.spec.ts
+++ b/packages/soak/__tests__/stallDetector.spec.ts
@@ -12,7 +12,7 @@
 
 describe('the stall detector', () => {
   for (const [name, span, isReported] of CASES) {
-    it(`reports ${isReported ? 'one stall' : 'no stall'} when the event loop is blocked for ${name}`, () => {
+    it(`when the event loop is blocked for ${name}, reports ${isReported ? 'one stall' : 'no stall'}`, () => {
       const detector = new StallDetector()
       const before = performance.now()
       while (performance.now() < before + span);
