--- a/packages/model/__tests__/failoverCore.spec.ts
+++ b/packages/model/__tests__/failoverCore.spec.ts
@@ -29,8 +29,8 @@
 describe('FailoverCore checked against the group specification', () => {
   /*
    * Guards against losing an acknowledged write when hosts restart, messages are lost, late or out
-   * of order, and coordinators race. It is lost if FailoverCore takes a step that the specification
-   * does not allow.
+   * of order, and coordinators race. It can be lost if FailoverCore takes a step that the
+   * specification does not allow.
    */
   test('takes only allowed steps, and every state keeps the invariants', context => {
     let promotions = 0
@@ -46,7 +46,7 @@
     expect(promotions).toBeGreaterThan(RUNS)
   })
 
-  test('detects terms that are not drawn at random for each attempt', () => {
+  test('violates the specification when terms are not drawn at random for each attempt', () => {
     const details = fastCheck.check(
       fastCheck.property(schedules, schedule => {
         return run(schedule, () => ({ next: () => 0 })).violations.length === 0
