--- a/packages/bench/__tests__/failures/transactions.spec.ts
+++ b/packages/bench/__tests__/failures/transactions.spec.ts
@@ -55,9 +55,9 @@
    * affected.
    */
   it('keeps nothing of a transaction whose proxy was killed before the commit', async () => {
-    const [dying, other] = [await connectWritable(0), await connectWritable(1)]
-    await dying.query('BEGIN')
-    await dying.query(insert('first half'))
+    const [interrupted, other] = [await connectWritable(0), await connectWritable(1)]
+    await interrupted.query('BEGIN')
+    await interrupted.query(insert('first half'))
     await deployment.kill(proxyProcessId(deployment.entryHost(0)))
     await other.query('BEGIN')
     await other.query(insert('whole one'))
@@ -75,8 +75,8 @@
    * writes may be kept, nor be committed by the next caller on the same backend connection.
    */
   it('keeps nothing of the transactions of many callers that disconnected', async () => {
-    const departures = 30
-    for (let index = 0; index < departures; index += 1) {
+    const callerCount = 30
+    for (let index = 0; index < callerCount; index += 1) {
       const leaving = await connect(1)
       await leaving.query('BEGIN')
       await leaving.query(insert(`abandoned ${index}`))
--- a/packages/bench/__tests__/operators.spec.ts
+++ b/packages/bench/__tests__/operators.spec.ts
@@ -57,9 +57,9 @@
       const child = execFile(
         process.execPath,
         [PROGRAM, ...args, '--settings', settingsFile],
-        (error, output, complaint) => {
+        (error, output, errorOutput) => {
           const code = typeof error?.code === 'number' ? error.code : 0
-          resolve({ code, output, errorOutput: complaint })
+          resolve({ code, output, errorOutput })
         },
       )
       child.stdin?.end(input)
--- a/packages/bench/src/demo.ts
+++ b/packages/bench/src/demo.ts
@@ -69,8 +69,8 @@
   const checkResult = checkHistory(load.operations, await readFinalContents(deployment))
   const [database = ''] = databases.map(entry => entry.id)
   const gapAfter = (from: Milliseconds): number => {
-    const watched = load.operations.filter(each => each.endedAt <= from + GAP_WINDOW_MILLISECONDS)
-    return longestWriteGap(watched, database, from)
+    const inWindow = load.operations.filter(each => each.endedAt <= from + GAP_WINDOW_MILLISECONDS)
+    return longestWriteGap(inWindow, database, from)
   }
   return makeReport({
     operations: load.operations,
--- a/packages/bench/src/deployment/adminCall.ts
+++ b/packages/bench/src/deployment/adminCall.ts
@@ -1,6 +1,6 @@
 /**
- * Control calls to the stand-ins (faults, cuts, the host list), and single statements on a backend
- * server.
+ * JSON-RPC calls to the stand-ins (faults, cuts, the host list) and to agents, and single statements
+ * on a backend server.
  */
 import pg from 'pg'
 import { openJsonRpc } from '@nutmegcourse/transport'
--- a/packages/bench/src/deployment/deployment.ts
+++ b/packages/bench/src/deployment/deployment.ts
@@ -142,11 +142,11 @@
 
   /** Isolates a zone from all other zones and from the platform. */
   async isolate(zone: AvailabilityZoneId): Promise<void> {
-    await this.cut([zone], this.#othersThan(zone))
+    await this.cut([zone], this.#zonesOtherThan(zone))
   }
 
   async rejoin(zone: AvailabilityZoneId): Promise<void> {
-    await this.heal([zone], this.#othersThan(zone))
+    await this.heal([zone], this.#zonesOtherThan(zone))
   }
 
   async interRegionBytes(): Promise<number> {
@@ -299,7 +299,7 @@
     })
   }
 
-  #othersThan(zone: AvailabilityZoneId): readonly AvailabilityZoneId[] {
+  #zonesOtherThan(zone: AvailabilityZoneId): readonly AvailabilityZoneId[] {
     return [PLATFORM_ZONE, ...this.zones.filter(other => other !== zone)]
   }
 }
--- a/packages/bench/src/deployment/plan.ts
+++ b/packages/bench/src/deployment/plan.ts
@@ -73,8 +73,8 @@
   nextPort: () => number,
 ): PlannedDatabase {
   const id = databaseId(`${shape.service}-${index + 1}`)
-  const homeZones = shape.zones.filter(entry => entry.region === shape.platformRegion).length
-  const first = index % homeZones
+  const homeZoneCount = shape.zones.filter(entry => entry.region === shape.platformRegion).length
+  const first = index % homeZoneCount
   const order = [first, ...indexesBelow(shape.zones.length).filter(zone => zone !== first)]
   const servers = order.map(zone => ({
     id: backendServerId(`${id}-${zoneAt(shape, zone).zone}`),
--- a/packages/bench/src/deployment/platform.ts
+++ b/packages/bench/src/deployment/platform.ts
@@ -1,5 +1,5 @@
 /**
- * Writes to a deployment's store and host list what operators and the platform would, and reads it.
+ * Reads a deployment's store and host list, and changes them as operators and the platform would.
  */
 import {
   groupKey,
--- a/packages/bench/src/failover/failoverRound.ts
+++ b/packages/bench/src/failover/failoverRound.ts
@@ -37,7 +37,7 @@
   const victim = database.servers.find(server => server.id === primary)
   if (victim === undefined) throw new Error('the group record has no primary')
   const from = load.now()
-  const wallClock = Date.now()
+  const injectedAt = Date.now()
   const before = load.operations.length
   await injectFault(deployment, victim, fault)
   await waitUntil(async () => {
@@ -51,7 +51,7 @@
   await delay(SETTLE_MILLISECONDS)
   return {
     gapMilliseconds: longestWriteGap(load.operations, database.id, from),
-    steps: firstTimeOfEachStep(events, term, wallClock),
+    steps: firstTimeOfEachStep(events, term, injectedAt),
     unknown: operations.filter(operation => operation.outcome.kind === 'unknown').length,
   }
 }
@@ -103,12 +103,12 @@
 function firstTimeOfEachStep(
   events: readonly ExplainedEvent[],
   formerTerm: number,
-  wallClock: number,
+  injectedAt: number,
 ): ReadonlyMap<string, number> {
   const steps = new Map<string, number>()
   for (const event of events) {
-    if (event.at < wallClock || event.term < formerTerm || steps.has(event.step)) continue
-    steps.set(event.step, event.at - wallClock)
+    if (event.at < injectedAt || event.term < formerTerm || steps.has(event.step)) continue
+    steps.set(event.step, event.at - injectedAt)
   }
   return steps
 }
--- a/packages/bench/src/fleet/fakePeers.ts
+++ b/packages/bench/src/fleet/fakePeers.ts
@@ -54,7 +54,7 @@
     this.#random = random
   }
 
-  /** Requests and answers on the links, in both directions. */
+  /** Requests, answers and opinions on the links, in both directions, without the handshakes. */
   get messages(): number {
     return this.#messages
   }
--- a/packages/bench/src/fleet/measureAgent.ts
+++ b/packages/bench/src/fleet/measureAgent.ts
@@ -48,6 +48,7 @@
 
 /** Additional cost of one event. */
 export interface EventCost {
+  /** Traffic with other agents. */
   readonly bytes: number
   readonly processorMilliseconds: number
 }
--- a/packages/bench/src/fleet/realFleet.ts
+++ b/packages/bench/src/fleet/realFleet.ts
@@ -20,7 +20,7 @@
 const START_TIMEOUT_MILLISECONDS = 20_000
 
 export interface RealFleetMeasurement extends FleetSize {
-  /** Figures of the first host, which is the one measured with fakes. */
+  /** Figures of the first host, which is the one measured with fakes. Bytes are per second. */
   readonly firstPeerBytes: number
   readonly firstProcessorShare: number
   readonly firstLinks: number
@@ -28,10 +28,11 @@
   readonly meanPeerBytes: number
   readonly meanProcessorShare: number
   readonly meanResidentMegabytes: number
+  /** Calls per second of all agents together. */
   readonly storeCalls: number
   /** Time from a change in the store until all agents have applied it, over several changes. */
   readonly changeMilliseconds: { readonly median: number; readonly worst: number }
-  /** Number of hosts that watch a database, and the most databases watched by one host. */
+  /** Number of hosts that watch any database, and the most databases watched by one host. */
   readonly watchingHosts: number
   readonly mostWatched: number
 }
@@ -57,6 +58,7 @@
   }
   const store = new FakeStore(records)
   // Hosts are added to the list while agents start, so an agent starts with those listed so far.
+  // The version stays the same, so the list must not answer `unchanged`.
   const hostList = fakeHostList(hosts, false)
   const storePort = await store.start()
   const hostListPort = await hostList.start()
@@ -108,10 +110,10 @@
   const deadline = performance.now() + START_TIMEOUT_MILLISECONDS
   while (performance.now() < deadline) {
     const usages = await Promise.all(agents.map(agent => agent.usage()))
-    const know = usages.every(
+    const allKnown = usages.every(
       ({ hosts, groups }) => hosts === size.hosts && groups === size.databases,
     )
-    if (know) return
+    if (allKnown) return
     await pause(POLL_MILLISECONDS)
   }
   throw new Error('the agents did not know all hosts and databases in time')
--- a/packages/bench/src/gossipQueue.ts
+++ b/packages/bench/src/gossipQueue.ts
@@ -91,7 +91,7 @@
   readonly #staleness: number[] = []
   readonly #createdAt: readonly number[]
 
-  /** `madeAt`: creation time of each value, numbered from 0. */
+  /** `createdAt`: creation time of each value, numbered from 0. */
   constructor(createdAt: readonly number[]) {
     this.#createdAt = createdAt
   }
--- a/packages/bench/src/proxyCost/costFixture.ts
+++ b/packages/bench/src/proxyCost/costFixture.ts
@@ -32,9 +32,9 @@
 export class CostFixture {
   readonly #directory = mkdtempSync(join(tmpdir(), 'nutmegcourse-cost-'))
   readonly #processes: ManagedProcess[] = []
-  #link: JsonRpcConnection | null = null
+  #proxyConnection: JsonRpcConnection | null = null
   #snapshot: RoutingSnapshot | null = null
-  #closeAgent: () => void = () => undefined
+  #closeFakeAgent: () => void = () => undefined
   directPort = 0
   relayPort = 0
   proxyPort = 0
@@ -52,13 +52,13 @@
       target: ports[0],
     })
     fixture.#snapshot = snapshotOf(ports)
-    fixture.proxyPort = await fixture.#startProxy(await fixture.#startAgent())
+    fixture.proxyPort = await fixture.#startProxy(await fixture.#startFakeAgent())
     return fixture
   }
 
   /** Resident memory as reported by the proxy. */
   async proxyResidentBytes(): Promise<number> {
-    const status = await this.#link?.request<{ readonly residentBytes: number }>(
+    const status = await this.#proxyConnection?.request<{ readonly residentBytes: number }>(
       'proxy.status',
       {},
       STATUS_TIMEOUT_MILLISECONDS,
@@ -73,8 +73,8 @@
 
   async stop(): Promise<void> {
     await Promise.all(this.#processes.map(each => each.end('SIGKILL')))
-    this.#link?.close()
-    this.#closeAgent()
+    this.#proxyConnection?.close()
+    this.#closeFakeAgent()
     rmSync(this.#directory, { recursive: true, force: true })
   }
 
@@ -89,16 +89,16 @@
     return Number(ready.port ?? (ready.ports as { readonly listen?: number }).listen)
   }
 
-  async #startAgent(): Promise<number> {
+  async #startFakeAgent(): Promise<number> {
     const { server, port } = await listen(LOOPBACK, 0, socket => {
-      const link = new JsonRpcConnection(socket, {
+      const connection = new JsonRpcConnection(socket, {
         'agent.subscribe': () => null,
         'agent.report': () => null,
       })
-      this.#link = link
-      link.notify('proxy.snapshot', this.#snapshot)
+      this.#proxyConnection = connection
+      connection.notify('proxy.snapshot', this.#snapshot)
     })
-    this.#closeAgent = () => server.close()
+    this.#closeFakeAgent = () => server.close()
     return port
   }
 
--- a/packages/bench/src/proxyCost/loadGenerator.ts
+++ b/packages/bench/src/proxyCost/loadGenerator.ts
@@ -55,7 +55,10 @@
 const endsWithReady = (chunk: Buffer): boolean =>
   chunk.length >= READY_BYTES && chunk[chunk.length - READY_BYTES] === ServerMessage.readyForQuery
 
-/** Keeps every caller busy. Requests while connections open and code warms up are not counted. */
+/**
+ * Keeps every caller busy. Requests while connections open and code warms up are not measured, but
+ * their errors are counted.
+ */
 export async function runLoad(plan: LoadPlan): Promise<LoadResult> {
   const sockets = await openCallers(plan.port, plan.callers, plan.className)
   const load = new RunningLoad(sockets)
--- a/packages/bench/src/routing/benchCore.ts
+++ b/packages/bench/src/routing/benchCore.ts
@@ -77,7 +77,7 @@
   readonly #classes: readonly ClassTargets[]
   readonly #onEffects: ((effects: readonly ProxyEffect[]) => void) | null
 
-  /** Without `onEffects`, every connection opens immediately. */
+  /** Without `onEffects`, `start` immediately opens the connections that the core asks for. */
   constructor(
     classes: readonly ClassTargets[],
     place: BenchPlace = 'near',
--- a/packages/bench/src/routing/decisions.ts
+++ b/packages/bench/src/routing/decisions.ts
@@ -41,7 +41,7 @@
 
 class RateRun {
   readonly #bench: BenchCore
-  readonly #writes: boolean
+  readonly #isWrite: boolean
   /** Created in advance, so that the cost of creating messages is not attributed to the core. */
   readonly #arrivals: readonly ProxyMessage[]
   #offset = 1
@@ -51,7 +51,7 @@
 
   constructor(bench: BenchCore, workClass: string) {
     this.#bench = bench
-    this.#writes = workClass === 'assign'
+    this.#isWrite = workClass === 'assign'
     this.#arrivals = Array.from({ length: BATCH }, (_, index) => ({
       kind: 'requestArrived',
       request: requestId(`r${index}`),
@@ -82,7 +82,7 @@
       const started = performance.now()
       const placed = this.#place(start, group)
       const placedAt = performance.now()
-      if (placed < group) this.#warmUp()
+      if (placed < group) this.#advanceClock()
       this.#finish(start, group)
       this.#requests += group
       this.#placingMilliseconds += placedAt - started
@@ -101,8 +101,11 @@
     return placed
   }
 
-  /** The first requests of a run open the connections that later ones use. */
-  #warmUp(): void {
+  /**
+   * Follows a group in which some requests were not placed at once, as at the start of a run, when
+   * connections have yet to be opened.
+   */
+  #advanceClock(): void {
     this.#bench.clock.advance(1)
   }
 
@@ -116,9 +119,9 @@
   #finish(start: number, count: number): void {
     for (let index = start; index < start + count; index += 1) {
       this.#offset += 1
-      this.#bench.completeRequest(`r${index}`, this.#writes ? this.#offset : null)
+      this.#bench.completeRequest(`r${index}`, this.#isWrite ? this.#offset : null)
     }
-    if (!this.#writes) return
+    if (!this.#isWrite) return
     this.#bench.clock.advance(2)
     this.#bench.send({ kind: 'tick' })
     for (const name of BENCH_SERVERS) {
--- a/packages/bench/src/routing/virtualLoad.ts
+++ b/packages/bench/src/routing/virtualLoad.ts
@@ -16,7 +16,8 @@
   /** The caller sends its last position with the request. */
   | 'token'
   /**
-   * An entry host chosen by the session's hash keeps it, which costs a round trip before each read.
+   * An entry host chosen by the session's hash keeps the last position, which costs a round trip
+   * before each request.
    */
   | 'holder'
   /** The positions of a majority, queried after each read arrives. */
@@ -39,7 +40,7 @@
   readonly latencyP50: number
   readonly latencyP99: number
   readonly refused: number
-  /** Messages between regions per read, including position queries and the reads themselves. */
+  /** All messages between regions, including those of position queries and writes, per read. */
   readonly linkMessagesPerRead: number
 }
 
@@ -223,6 +224,7 @@
     return held
   }
 
+  /** One-way delay. Counts the request and its answer if they pass between regions. */
   #delayTo(server: BenchServer): number {
     const isFar = (server === 'c') !== (this.#shape.place === 'far')
     if (isFar && this.#isMeasured()) this.#linkMessages += 2
@@ -246,9 +248,9 @@
     return this.#now() >= WARM_UP_MILLISECONDS
   }
 
-  #schedule(delay: number, happen: () => void): void {
+  #schedule(delay: number, action: () => void): void {
     this.#order += 1
-    this.#events.push({ at: this.#now() + delay, order: this.#order, action: happen })
+    this.#events.push({ at: this.#now() + delay, order: this.#order, action: action })
   }
 
   #now(): number {
--- a/packages/bench/src/soak.ts
+++ b/packages/bench/src/soak.ts
@@ -101,17 +101,19 @@
 
 /** Waits until every database accepts writes again and logs how long that took. */
 async function waitForRecovery(): Promise<boolean> {
-  const healed = load.now()
+  const healedAt = load.now()
   const missing = (): readonly string[] =>
-    deployment.plan.databases.map(each => each.id).filter(id => !acknowledgedSince(id, healed))
+    deployment.plan.databases.map(each => each.id).filter(id => !acknowledgedSince(id, healedAt))
   while (missing().length > 0) {
-    if (load.now() - healed > RECOVERY_MILLISECONDS) {
+    if (load.now() - healedAt > RECOVERY_MILLISECONDS) {
       log(`writes did not recover on ${missing().join(', ')}`)
       return false
     }
     await delay(20)
   }
-  log(`writes succeed on every database ${Math.round(load.now() - healed)} ms after the last heal`)
+  log(
+    `writes succeed on every database ${Math.round(load.now() - healedAt)} ms after the last heal`,
+  )
   await delay(1000)
   return true
 }
--- a/packages/bench/src/soak/faults.ts
+++ b/packages/bench/src/soak/faults.ts
@@ -93,12 +93,12 @@
     const { servers } = pick(deployment.plan.databases, random)
     const server = pick(servers, random)
     // Errors are ignored: a server that is down or frozen cannot be reached and replicates nothing.
-    const order = (paused: boolean): Promise<void> =>
+    const setPaused = (paused: boolean): Promise<void> =>
       pauseReplication(server, paused).catch(() => undefined)
     return {
       name: `pause replication of ${server.id}`,
-      inject: () => order(true),
-      heal: () => order(false),
+      inject: () => setPaused(true),
+      heal: () => setPaused(false),
     }
   },
 ]
--- a/packages/bench/src/workload/callerLoad.ts
+++ b/packages/bench/src/workload/callerLoad.ts
@@ -28,7 +28,7 @@
    * Interval of probe writes, sent whether or not earlier ones were answered. Absent: no probes.
    */
   readonly probeMilliseconds?: number
-  /** Prefix of the session ids, which distinguishes the records of several loads. */
+  /** Part of the session ids, which distinguishes the records of several loads. */
   readonly name?: string
 }
 
--- a/packages/bench/src/workload/history.ts
+++ b/packages/bench/src/workload/history.ts
@@ -13,8 +13,12 @@
 }
 
 export interface HistoryCheckResult {
+  /** Number of acknowledged writes; reads are not counted. */
   readonly acknowledged: number
-  /** Acknowledged, but missing from the final contents. */
+  /**
+   * Acknowledged writes that are missing from the final contents: event ids, and counters as
+   * `database/session=value`.
+   */
   readonly lost: readonly string[]
   /** Stored more than once. */
   readonly doubled: readonly string[]
--- a/packages/bench/src/workload/operation.ts
+++ b/packages/bench/src/workload/operation.ts
@@ -1,7 +1,7 @@
 /** Operations of callers and their outcomes. All times are from the load process's clock. */
 import type { Brand, Milliseconds, SessionId } from '@nutmegcourse/shared'
 
-/** Unique id of a write, stored with it, so that a write that ran twice is detected. */
+/** Unique id of an event write, stored with it, so that a write that ran twice is detected. */
 export type WriteId = Brand<string, 'WriteId'>
 
 export const writeId = (value: string): WriteId => value as WriteId
--- a/packages/bench/src/workload/sessionCaller.ts
+++ b/packages/bench/src/workload/sessionCaller.ts
@@ -1,5 +1,5 @@
 /**
- * One session of a caller, connected to several proxies at once with the unmodified `pg` client.
+ * One session of a caller, connected to one or more proxies with the unmodified `pg` client.
  */
 import pg from 'pg'
 import {
