--- a/packages/bench/src/routing/virtualLoad.ts
+++ b/packages/bench/src/routing/virtualLoad.ts
@@ -250,7 +250,7 @@
 
   #schedule(delay: number, action: () => void): void {
     this.#order += 1
-    this.#events.push({ at: this.#now() + delay, order: this.#order, action: action })
+    this.#events.push({ at: this.#now() + delay, order: this.#order, action })
   }
 
   #now(): number {
